--- a/valetrack/src/placement/attempt.rs
+++ b/valetrack/src/placement/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts of a call: how each is put to its owner, and how it ends.
+//! Attempts of a call: sends each one to its owner and reports its outcome.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,14 +17,14 @@
 use crate::metric::Metrics;
 use crate::timeline::{OrNone, log as events};
 
-/// An attempt is waited for this much longer than its deadline, in milliseconds.
+/// Time after the deadline of an attempt for which its reply is still awaited.
 const SLACK_MS: u64 = 50;
 
-/// What came of something that was out for a call, with the answer if it brought one.
+/// Result of a pending operation of a call, with the answer if there is one.
 pub(super) type AttemptEnd = (CallEvent, Option<(AnswerHead, Bytes)>);
 
 impl Placer {
-    /// Sends an attempt to the owner of a server and waits for its end.
+    /// Sends an attempt to the owner of a server and waits for its outcome.
     pub(super) fn send(
         self: Rc<Self>,
         head: &CallHead,
@@ -33,7 +33,7 @@
         deadline: Moment,
     ) -> LocalBoxFuture<'static, AttemptEnd> {
         let Dispatch { attempt, server, patience, elsewhere_permille, cause, repeat_permille } = dispatch;
-        // A key whose run is lost with its owner never runs again, so the owner is first seen alive.
+        // A keyed call whose run is lost with its owner never runs again, so the owner is probed first.
         let looks_first = head.key.is_some();
         let head = head.clone();
         let body = body.clone();
@@ -72,7 +72,7 @@
                 OrNone(age_ms)
             );
             self.metrics.sends.with_label_values(&[&*service, cause.as_str()]).inc();
-            // Drawn after the event above, so that what the owner does stands behind it.
+            // The stamp is drawn after the log line above, so that events of the owner are ordered after it.
             head.hlc = events::stamp();
             let question = Question { ask: Ask::Run(head), body };
             let limit = Duration::from_millis(u64::from(left_ms) + SLACK_MS);
@@ -111,8 +111,7 @@
         })
     }
 
-    /// Asks the owner of a call that takes long how its server does, so that a hedge is decided on
-    /// what holds now.
+    /// Probes the owner of a call that takes long, so that the decision on a hedge uses the owner's current state.
     pub(super) fn look(self: Rc<Self>, service: Arc<str>, server: ServerIndex) -> LocalBoxFuture<'static, AttemptEnd> {
         Box::pin(async move {
             self.metrics.probes.inc();
@@ -125,7 +124,8 @@
     }
 }
 
-/// Reads how an attempt ended; an answer for any other attempt is dropped.
+/// Maps the result of an attempt to its event. An answer to another attempt is dropped, and the attempt counts as
+/// broken.
 fn attempt_event(attempt: AttemptId, result: LinkResult, metrics: &Metrics) -> AttemptEnd {
     let answered = match result {
         LinkResult::Reply(answered) => *answered,
--- a/valetrack/src/placement/budget.rs
+++ b/valetrack/src/placement/budget.rs
@@ -1,13 +1,13 @@
-//! Token bucket of a rate.
+//! Token bucket that limits a rate.
 
-/// A token bucket in units a second.
+/// A token bucket in units per second.
 ///
-/// In no window of `w` seconds does it grant more than `rate * w + burst`.
+/// In any window of `w` seconds it grants at most `rate * w + burst`.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBudget {
     rate_per_s: u64,
     burst: u64,
-    /// Tokens in millionths, so that no rounding ever earns.
+    /// Tokens in millionths, so that rounding never adds any.
     micro_tokens: u64,
     filled_us: u64,
 }
@@ -16,12 +16,12 @@
 const MICRO: u64 = 1_000_000;
 
 impl RateBudget {
-    /// Makes a full bucket.
+    /// Creates a full bucket.
     pub fn new(rate_per_s: u64, burst: u64, now_us: u64) -> Self {
         Self { rate_per_s, burst, micro_tokens: burst.saturating_mul(MICRO), filled_us: now_us }
     }
 
-    /// Takes a new rate and burst; what was saved above the new burst is lost.
+    /// Applies a new rate and burst. Tokens above the new burst are discarded.
     pub fn configure(&mut self, rate_per_s: u64, burst: u64, now_us: u64) {
         self.fill(now_us);
         self.rate_per_s = rate_per_s;
@@ -29,7 +29,7 @@
         self.micro_tokens = self.micro_tokens.min(burst.saturating_mul(MICRO));
     }
 
-    /// Takes `cost` units if the bucket holds them; a clock that goes back earns nothing.
+    /// Takes `cost` units if the bucket holds them. A clock that goes back adds no tokens.
     pub fn take(&mut self, cost: u64, now_us: u64) -> bool {
         self.fill(now_us);
         let Some(left) = self.micro_tokens.checked_sub(cost.saturating_mul(MICRO)) else {
--- a/valetrack/src/placement/call.rs
+++ b/valetrack/src/placement/call.rs
@@ -1,8 +1,8 @@
-//! The life of one call at its entry, as a pure state machine.
+//! State machine of one call at its entry, without I/O.
 //!
-//! What holds whatever happens: work that may not repeat has at most one attempt that may have
-//! started; `NotRun` is said only when every attempt that was sent was given back or is under the
-//! owner's word that it never starts; exactly one verdict is given.
+//! Invariants: work that is not repeatable has at most one attempt that may have started; `NotRun` is returned only if
+//! each attempt that was sent was declined or has its owner's confirmation that it never starts; exactly one verdict is
+//! given.
 
 mod choice;
 mod end;
@@ -14,63 +14,62 @@
 use crate::code::Code;
 use crate::gate::{AttemptId, PERMILLE, Patience};
 
-/// Most attempts of one call that are remembered; a call makes fewer.
+/// Capacity for the attempts of one call; a call makes fewer.
 const MAX_ATTEMPTS: usize = 12;
-/// How often owners may give a call back because it is worth more elsewhere: of machines that are
-/// slow a third of the time, four in a row hardly ever are.
+/// How often owners may decline a call because its utility is higher elsewhere: if machines are slow a third of the
+/// time, four slow ones in a row are rare.
 const SLOW_BOUNCES: u8 = 4;
-/// How often owners in other failure domains may give a call back for want of room: its bytes are
-/// paid for each time, and where the own domain is full others often are too.
+/// How often owners in other failure domains may decline a call for lack of room: its traffic is charged each time, and
+/// if the own domain is full, others often are too.
 const FAR_BOUNCES: u8 = 1;
-/// A second run is taken to need this share of the usual time, in hundredths.
+/// Run time assumed for a second run, as a share of the usual time.
 const HEDGE_RUN_PERCENT: u64 = 130;
-/// Shortest time that a caller is told to stay away, in milliseconds.
+/// Shortest retry delay of a caller.
 const RETRY_AFTER_MIN_MS: u32 = 50;
-/// Longest time that a caller is told to stay away, in milliseconds.
+/// Longest retry delay of a caller.
 const RETRY_AFTER_MAX_MS: u32 = 1_000;
-/// A caller is told to come back within this part of what its objective leaves beyond a run, as a
-/// divisor.
+/// Divisor of the time that a call's objective leaves beyond a run. The quotient is the longest retry delay of its
+/// caller.
 const RETURN_SHARE: u64 = 2;
 
-/// How calls of one route are placed.
+/// Placement rule for the calls of one route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallRule {
     /// Whether the work may run more than once.
     pub repeatable: bool,
-    /// How often owners may give one call back.
+    /// How often owners may decline one call.
     pub bounces: u8,
-    /// How often repeatable work is tried again after it may have started.
+    /// How often repeatable work is retried after it may have started.
     pub retries: u8,
-    /// Delay before a hedge in hundredths of the usual service time; none turns hedges off.
+    /// Delay before a hedge, as a share of the usual service time; none disables hedges.
     pub hedge_after_percent: Option<u32>,
-    /// What the call asks of a server; none where it has no objective.
+    /// Requirements of the call on its server; none if it has no objective.
     pub demand: Option<Demand>,
 }
 
-/// Budgets that all calls of one service at one entry share.
+/// Budgets shared by all calls of one service at one entry.
 #[derive(Debug, Clone, Copy)]
 pub struct Budgets {
-    /// Every attempt that may arrive past the first of its call, but for what `hedge` pays.
+    /// Budget of all attempts that may arrive after the first one of their call, except for those charged to `hedge`.
     pub retry: RepeatBudget,
-    /// Attempts beside one that takes long, of calls without an objective; none where `retry` pays
-    /// them as well.
+    /// Budget of hedges of calls without an objective; none if they are charged to `retry` too.
     pub hedge: Option<RepeatBudget>,
-    /// Repeats that were not sent for want of budget, until the shell has counted them.
+    /// Repeats refused for lack of budget that the shell has not counted yet.
     pub refused: RepeatsRefused,
 }
 
 impl Budgets {
-    /// Makes budgets that have refused nothing yet.
+    /// Creates budgets that have refused nothing yet.
     pub fn new(retry: RepeatBudget, hedge: RepeatBudget) -> Self {
         Self { retry, hedge: Some(hedge), refused: RepeatsRefused::default() }
     }
 
-    /// Makes the part of a fleet's promise that an entry keeps from its start on; it pays all repeats.
+    /// Creates an entry's part of a fleet's guarantee at the start of the entry. All repeats are charged to it.
     pub fn of_fleet(promise: RepeatPromise, now_us: u64) -> Self {
         Self { retry: RepeatBudget::of_fleet(promise, now_us), hedge: None, refused: RepeatsRefused::default() }
     }
 
-    /// Counts a call that is a repeat itself by this chance, in thousandths.
+    /// Records a call with the chance that it is itself a repeat.
     fn begin(&mut self, repeat_permille: u16, now_us: u64) {
         let repeat = f64::from(repeat_permille) / PERMILLE;
         self.retry.begin(repeat, now_us);
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Takes a repeat out of the budget that pays for its cause, if it has one left.
+    /// Takes a repeat from the budget if there is one left, and counts it as refused otherwise.
     fn repeat(&mut self, cause: SendCause, now_us: u64) -> bool {
         let granted = self.retry.take(now_us);
         if !granted {
@@ -89,7 +88,7 @@
     }
 }
 
-/// Numbers of repeats that were not sent for want of budget, by cause.
+/// Numbers of repeats that were refused for lack of budget, by cause.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RepeatsRefused([u64; SendCause::PAID.len()]);
 
@@ -100,35 +99,35 @@
         }
     }
 
-    /// Takes the numbers out, cause by cause, and starts from zero again.
+    /// Returns the numbers by cause, and resets them to zero.
     pub fn drain(&mut self) -> impl Iterator<Item = (SendCause, u64)> + use<> {
         let counts = std::mem::take(&mut self.0);
         SendCause::PAID.into_iter().zip(counts).filter(|(_, count)| *count > 0)
     }
 }
 
-/// What a call works with while it handles one event.
+/// State that a call uses while it handles one event.
 pub struct CallContext<'a> {
     /// The entry's view of the service.
     pub view: &'a mut ServiceView,
     /// The service's budgets.
     pub budgets: &'a mut Budgets,
-    /// Seeded random numbers.
+    /// Seeded random number generator.
     pub rng: &'a mut fastrand::Rng,
-    /// The moment, on this process's monotonic clock, in microseconds.
+    /// Current time, on this process's monotonic clock.
     pub now_us: u64,
-    /// Draws the number of the next attempt.
+    /// Number of the next attempt.
     pub next_seq: &'a mut u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptState {
     Sent,
-    /// The link broke or the deadline passed, and the owner was asked.
+    /// The link broke or the deadline passed, and the owner was sent a cancel.
     Asked,
-    /// The owner gave it back, or says that it never starts.
+    /// The owner declined it, or confirmed that it never starts.
     NeverStarted,
-    /// It may have run, and no answer will come.
+    /// It may have run, and no answer will arrive.
     Lost,
 }
 
@@ -148,36 +147,36 @@
     attempts: [Option<Attempt>; MAX_ATTEMPTS],
     count: usize,
     excluded: ServerSet,
-    /// Servers that get no call as usual, since their service is rolled out.
+    /// Servers excluded from ordinary calls while their service is rolled out.
     barred: ServerSet,
-    /// Whether a run made it.
+    /// Whether a run made the call.
     made_by_run: bool,
     bounces_left: u8,
     slow_bounces_left: u8,
     far_bounces_left: u8,
     retries_left: u8,
     hedged: bool,
-    /// When the call came, in microseconds.
+    /// When the call arrived.
     began_us: u64,
-    /// Whether a stall has turned the call out of a queue.
+    /// Whether an owner declined the call because of a stall, after it had waited in the queue.
     waited: bool,
-    /// Whether an attempt was let wait come what may.
+    /// Whether an attempt was sent with the queue timeout of the last resort.
     last_resort: bool,
     past_deadline: bool,
     last_code: Code,
-    /// Chance that the call was made by a repeated run, in thousandths.
+    /// Chance that a repeated run made the call.
     repeat_permille: u16,
-    /// Whether a repeat was paid for, so that attempts from then on may arrive past the first.
+    /// Whether a repeat was charged, so that later attempts may arrive after the first one.
     repeated: bool,
-    /// The last attempt whose answer was a failure of the upstream's own.
+    /// The last attempt whose answer reports a failure of the upstream itself.
     failing_answer: Option<AttemptId>,
-    /// Why the last attempt that may have run brought no answer.
+    /// Cause of the last loss of an attempt that may have run.
     lost_code: Option<Code>,
     finished: bool,
 }
 
 impl Call {
-    /// Makes a call that waits for [`CallEvent::Begin`].
+    /// Creates a call that waits for [`CallEvent::Begin`].
     pub fn new(rule: CallRule, entry: u64) -> Self {
         Self {
             rule,
@@ -205,32 +204,32 @@
         }
     }
 
-    /// Says by which chance the call was made by a repeated run, in thousandths.
+    /// Sets the chance that a repeated run made the call.
     #[must_use]
     pub fn made_by_repeat(self, repeat_permille: u16) -> Self {
         Self { repeat_permille, ..self }
     }
 
-    /// Says whether a run made the call: the work that waits for it is lost with it, so that it is given
-    /// back by as many owners as its rule allows however full the service is.
+    /// Sets whether a run made the call. The work of the run is lost with the call, so as many owners as its rule
+    /// allows may decline it, however full the service is.
     #[must_use]
     pub fn made_by_run(self, made_by_run: bool) -> Self {
         Self { made_by_run, ..self }
     }
 
-    /// Returns how many attempts were sent.
+    /// Returns the number of attempts sent.
     pub fn attempts(&self) -> usize {
         self.count
     }
 
-    /// Returns the server of the attempt that is out, if there is just one.
+    /// Returns the server of the attempt in flight, if there is exactly one.
     pub fn waits_for(&self) -> Option<ServerIndex> {
         let mut sent = self.attempts.iter().flatten().filter(|attempt| attempt.state == AttemptState::Sent);
         let server = sent.next()?.server;
         sent.next().is_none().then_some(server)
     }
 
-    /// Returns whether the verdict was given and no attempt is out.
+    /// Returns whether the verdict was given and no attempt is in flight.
     pub fn closed(&self) -> bool {
         self.finished && self.outstanding() == 0
     }
@@ -240,7 +239,7 @@
         self.finished
     }
 
-    /// Takes back all attempts that are out, since nobody waits for the call any more.
+    /// Closes all attempts in flight, since their results are not needed any more.
     pub fn abandon(&mut self, cx: &mut CallContext<'_>) {
         self.finished = true;
         for at in 0..self.count {
@@ -251,7 +250,7 @@
         }
     }
 
-    /// Takes one event and appends what must be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, event: CallEvent, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
         match event {
             CallEvent::Begin => self.begin(cx, out),
@@ -280,7 +279,7 @@
             return;
         };
         if let (true, Some(demand)) = (self.rule.repeatable && self.retries_left > 0, self.rule.demand) {
-            // The last moment at which a second run would still end in time.
+            // The last moment at which a second run would still end within the objective.
             let run_us = u64::from(demand.work_us) * HEDGE_RUN_PERCENT / 100;
             let after_us = demand.left_us.saturating_sub(run_us).max(demand.work_us.into());
             out.push(CallAction::ArmHedge { after_us });
@@ -321,17 +320,18 @@
         self.settle(cx, out);
     }
 
-    /// Gives the verdict when no attempt can bring an answer any more.
+    /// Gives the verdict if no attempt can return an answer any more.
     fn settle(&mut self, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
         if self.finished || self.outstanding() > 0 {
             return;
         }
         let lost = self.attempts.iter().flatten().any(|attempt| attempt.state == AttemptState::Lost);
         let verdict = if let Some(answer) = self.failing_answer {
-            // The upstream's own word on its failure tells the caller more than that it may have run.
+            // The upstream's own failure answer is more useful to the caller than the report that the work may have
+            // run.
             Verdict::Answer(answer)
         } else if lost {
-            // What came after the loss, such as a full server, does not tell why it may have run.
+            // Events after the loss, such as a full server, are not the reason why the work may have run.
             Verdict::Unknown { code: self.lost_code.unwrap_or(self.last_code) }
         } else {
             self.not_run(cx)
@@ -339,7 +339,7 @@
         self.finish(verdict, out);
     }
 
-    /// Returns the verdict on a call of which no attempt has started, with when to come back.
+    /// Returns the verdict on a call without a started attempt, with its retry delay.
     fn not_run(&self, cx: &mut CallContext<'_>) -> Verdict {
         match self.last_code {
             Code::Quarantined => QUARANTINED,
@@ -347,7 +347,7 @@
         }
     }
 
-    /// Asks the owners of all attempts that are out.
+    /// Sends a cancel to the owners of all attempts in flight.
     fn ask_all(&mut self, out: &mut Vec<CallAction>) {
         for at in 0..self.count {
             if self.state(at) == AttemptState::Sent {
@@ -367,12 +367,12 @@
 
     fn finish(&mut self, verdict: Verdict, out: &mut Vec<CallAction>) {
         self.finished = true;
-        // What still runs is of no use; an owner that holds it in its queue can drop it.
+        // Runs in progress are of no use any more, and an owner that still has the attempt in its queue can drop it.
         self.ask_all(out);
         out.push(CallAction::Finish(verdict));
     }
 
-    /// Closes an attempt that is still open, and returns its place.
+    /// Closes an attempt that is still open, and returns its position.
     fn close(&mut self, id: AttemptId, state: AttemptState, cx: &mut CallContext<'_>) -> Option<usize> {
         let at = self.find(id)?;
         let attempt = self.attempts[at].as_mut()?;
@@ -406,13 +406,12 @@
     }
 }
 
-/// Returns when a caller is to come back: spread, so that callers do not come together, and soon enough
-/// to be in time still.
+/// Returns the retry delay of a caller: random, so that callers do not return together, and short enough for an answer
+/// within the objective.
 ///
-/// Of callers that came back within a second most were served too late to be of use, in slots that
-/// others could have been served from in time. A fleet of 195 VMs in virtual time, in a burst of 1.8
-/// times its load, three seeds: 1,355 late answers of 16,400 with it, 972 so, and 0.850 and 0.861 of the
-/// worth served.
+/// With delays of up to a second for every call, most callers that returned were answered too late to be of use, in
+/// slots from which others could have been answered in time: in a burst of 1.8 times the load of 195 VMs, 1,355 of
+/// 16,400 answers were late instead of 972.
 fn retry_after_ms(demand: Option<Demand>, rng: &mut fastrand::Rng) -> u32 {
     let longest_ms = demand.map_or(RETRY_AFTER_MAX_MS, |demand| {
         let spare_us = demand.left_us.saturating_sub(demand.work_us.into());
--- a/valetrack/src/placement/call/choice.rs
+++ b/valetrack/src/placement/call/choice.rs
@@ -1,4 +1,4 @@
-//! Where a call's next attempt goes, and how long it may wait there.
+//! Server and queue timeout of a call's next attempt.
 
 use super::{Attempt, AttemptState, Call, CallContext, MAX_ATTEMPTS};
 use crate::gate::{AttemptId, PERMILLE, Patience};
@@ -8,8 +8,8 @@
 use crate::rollout::ServerPart;
 
 impl Call {
-    /// Sends the first attempt, to a server on trial where the call is one of its share. Whatever follows goes to the
-    /// others: a call is put to a new version once.
+    /// Sends the first attempt, to a server on trial if the call belongs to the trial's traffic share. Later attempts
+    /// go to the other servers: a call is sent to a new version at most once.
     pub(super) fn send_first(&mut self, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) -> Option<ServerIndex> {
         self.barred = cx.view.outside(ServerPart::Usual);
         let on_trial = cx.view.takes_trial().then(|| cx.view.outside(ServerPart::Trial));
@@ -23,7 +23,7 @@
         Some(server)
     }
 
-    /// Sends the next attempt to a server that was not tried, and returns it if there is one.
+    /// Sends the next attempt to a server that was not tried, and returns the server if there is one.
     pub(super) fn send_next(
         &mut self,
         cause: SendCause,
@@ -36,7 +36,8 @@
         Some(server)
     }
 
-    /// Goes back to the best of the servers that were tried, to wait there, if that was not done.
+    /// Sends a last attempt to the best of the servers that were tried, to wait in its queue, unless one was sent
+    /// already.
     pub(super) fn send_last(&mut self, cause: SendCause, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) -> bool {
         if self.last_resort || self.count >= MAX_ATTEMPTS {
             return false;
@@ -48,8 +49,8 @@
         true
     }
 
-    /// Returns how long an attempt may wait at a server: shortly only where another one looks as
-    /// if it had room and the allowance lets the call go there.
+    /// Returns the queue timeout of an attempt at a server: short only if another server appears to have room and the
+    /// allowance of declines lets the call go there.
     fn patience_for(&self, server: ServerIndex, cx: &CallContext<'_>) -> Patience {
         let mut tried = self.excluded;
         tried.insert(server);
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Picks a server outside `excluded`, and outside other failure domains once they have given
-    /// the call back often enough and an own one is open.
+    /// Picks a server outside `excluded`, and outside other failure domains once they have declined the call often
+    /// enough and a server of the own domain is open.
     pub(super) fn pick(&self, excluded: ServerSet, cx: &mut CallContext<'_>) -> Option<ServerIndex> {
         let excluded = match self.far_bounces_left {
             0 => excluded.union(cx.view.far_where_near_is_open(excluded, cx.now_us)),
@@ -76,15 +77,14 @@
         }
     }
 
-    /// Returns what the call still asks of a server, if it has an objective.
+    /// Returns the remaining requirements of the call, if it has an objective.
     fn demand_left(&self, cx: &CallContext<'_>) -> Option<Demand> {
         let demand = self.rule.demand?;
         let gone_us = cx.now_us.saturating_sub(self.began_us);
         Some(Demand { left_us: demand.left_us.saturating_sub(gone_us), ..demand })
     }
 
-    /// Returns what the call is worth at the best server that was not tried, in thousandths; zero
-    /// where it is to stay at `server`.
+    /// Returns the utility of the call at the best server that was not tried; zero if the call is to stay at `server`.
     fn elsewhere_permille(&self, server: ServerIndex, patience: Patience, cx: &CallContext<'_>) -> u16 {
         if patience != Patience::Short || self.slow_bounces_left == 0 {
             return 0;
@@ -95,7 +95,7 @@
         worth.map_or(0, |worth| (worth * PERMILLE) as u16)
     }
 
-    /// Picks a server that was not tried, while the call may make another attempt.
+    /// Picks a server that was not tried, if the call may make another attempt.
     fn next_server(&mut self, cx: &mut CallContext<'_>) -> Option<ServerIndex> {
         if self.count >= MAX_ATTEMPTS {
             return None;
@@ -103,7 +103,7 @@
         self.pick(self.excluded, cx)
     }
 
-    /// Returns whether a hedge at `server` is worth its cost, and takes it out of its budget.
+    /// Returns whether a hedge at `server` pays off, and charges it to its budget if so.
     pub(super) fn may_hedge(&mut self, server: ServerIndex, cx: &mut CallContext<'_>) -> bool {
         if self.rule.demand.is_none() {
             return match &mut cx.budgets.hedge {
@@ -115,7 +115,7 @@
         let slow = first.is_some_and(|attempt| {
             cx.view.is_slow(attempt.server, cx.now_us) || cx.view.is_ejected(attempt.server, cx.now_us)
         });
-        // A hedge is one more run as a retry is, and both come out of one budget.
+        // A hedge is one more run like a retry, so both are charged to one budget.
         slow && !cx.view.is_slow(server, cx.now_us) && self.may_repeat(SendCause::Hedge, cx)
     }
 
--- a/valetrack/src/placement/call/end.rs
+++ b/valetrack/src/placement/call/end.rs
@@ -1,4 +1,4 @@
-//! How attempts of a call end, and what follows.
+//! End of a call's attempts, and the decision that follows.
 
 use super::{AttemptState, Call, CallContext};
 use crate::code::Code;
@@ -6,7 +6,7 @@
 use crate::placement::message::{CallAction, SendCause, ServerIndex, Verdict};
 
 impl Call {
-    /// Takes a whole answer of an attempt: the verdict, unless it is a failure that may be repeated.
+    /// Handles a complete answer of an attempt. It becomes the verdict unless it is a failure that may be retried.
     pub(super) fn ran(&mut self, id: AttemptId, healthy: bool, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
         let Some(at) = self.close(id, AttemptState::Lost, cx) else {
             return;
@@ -27,7 +27,7 @@
         self.finish(Verdict::Answer(id), out);
     }
 
-    /// Takes an attempt that its owner gave back.
+    /// Handles an attempt that its owner declined.
     pub(super) fn bounced(
         &mut self,
         id: AttemptId,
@@ -50,11 +50,11 @@
             return;
         }
         if self.patience(at) == Patience::None && self.outstanding() > 0 {
-            // A hedge that found no free slot is no loss; the first attempt goes on.
+            // A hedge that found no free slot is no loss; the first attempt continues.
             return;
         }
         if matches!(self.patience(at), Patience::Long | Patience::Last) && reason == BounceReason::Full {
-            // It was the last resort, so no server has room.
+            // The attempt was the last resort, so no server has room.
             self.settle(cx, out);
             return;
         }
@@ -63,15 +63,15 @@
             return;
         }
         if matches!(reason, BounceReason::RepeatRefused | BounceReason::Quarantined) {
-            // The services that the run would call are near their budgets at any owner, or each of them knows
-            // what the call does to upstreams; another one would only be asked to say so.
+            // The services that the run would call are near their budgets at any owner, or every owner has a record of
+            // the call's crashes; another owner would only decline it as well.
             self.settle(cx, out);
             return;
         }
         self.spend_allowances(server, reason, cx);
-        // Whoever was let in and has waited is not to be turned away for a full queue.
+        // A call that was admitted and has waited must not be declined for a full queue later.
         self.waited |= reason == BounceReason::Stalled;
-        // None of these is a sign of load elsewhere, so they cost no allowance.
+        // None of these reasons is a sign of load elsewhere, so they are not charged to the allowance.
         let free = matches!(
             reason,
             BounceReason::Leaving
@@ -85,10 +85,9 @@
 
     /// Decides after an upstream has rejected an attempt.
     ///
-    /// It was reached, so going to another one adds to its service's load as any repeat does, and a
-    /// service that rejects everywhere is overloaded. Guards the fleet's budget of repeats: with half
-    /// of all arrivals rejected, 1,249 of 1,200 calls in ten seconds were repeats where 298 are allowed
-    /// (ten nodes in virtual time).
+    /// The attempt reached the upstream, so sending it to another one adds to the load of the service like any repeat,
+    /// and a service that rejects everywhere is overloaded. Without the charge, 1,249 repeats of 1,200 calls arrived in
+    /// ten seconds where 298 are allowed, with half of all arrivals rejected.
     fn after_rejection(&mut self, server: ServerIndex, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
         if !cx.budgets.repeat(SendCause::Rejected, cx.now_us) {
             self.settle(cx, out);
@@ -97,7 +96,7 @@
         self.move_on(server, false, SendCause::Rejected, cx, out);
     }
 
-    /// Counts a bounce against the allowances that only some reasons have.
+    /// Charges a decline to the allowances that apply only to some reasons.
     fn spend_allowances(&mut self, server: ServerIndex, reason: BounceReason, cx: &CallContext<'_>) {
         if reason == BounceReason::Full && cx.view.is_far(server) {
             self.far_bounces_left = self.far_bounces_left.saturating_sub(1);
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Takes the loss of an attempt that has started.
+    /// Handles the loss of an attempt that has started.
     pub(super) fn failed(&mut self, id: AttemptId, code: Code, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
         let Some(at) = self.close(id, AttemptState::Lost, cx) else {
             return;
@@ -118,7 +117,7 @@
         self.after_loss(self.server(at), cx, out);
     }
 
-    /// Takes an attempt whose owner was not reached.
+    /// Handles an attempt whose owner was not reached.
     pub(super) fn unsent(&mut self, id: AttemptId, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
         let Some(at) = self.close(id, AttemptState::NeverStarted, cx) else {
             return;
@@ -136,7 +135,7 @@
         self.move_on(server, true, SendCause::Unreached, cx, out);
     }
 
-    /// Takes the loss of the link under an attempt, whose owner is then asked.
+    /// Handles the loss of the link under an attempt by sending its owner a cancel.
     pub(super) fn broken(&mut self, id: AttemptId, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
         let Some(at) = self.find(id) else {
             return;
@@ -149,7 +148,7 @@
         self.ask(at, out);
     }
 
-    /// Takes the owner's word on an attempt that it was asked about.
+    /// Handles the owner's reply to a cancel.
     pub(super) fn cancelled(
         &mut self,
         id: AttemptId,
@@ -183,7 +182,7 @@
         }
     }
 
-    /// Goes to another server after an attempt that certainly did not start.
+    /// Sends another attempt after one that certainly did not start.
     fn move_on(
         &mut self,
         server: ServerIndex,
@@ -201,7 +200,7 @@
         }
     }
 
-    /// Decides after an attempt that may have started brought no answer.
+    /// Decides after an attempt that may have started returned no answer.
     fn after_loss(&mut self, server: ServerIndex, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
         if self.finished {
             return;
@@ -216,7 +215,7 @@
         self.settle(cx, out);
     }
 
-    /// Takes a repeat out of the call's own allowance and its service's budget, if both have one.
+    /// Takes a repeat from the call's own allowance and its service's budget, if both have one left.
     pub(super) fn may_repeat(&mut self, cause: SendCause, cx: &mut CallContext<'_>) -> bool {
         if !self.rule.repeatable || self.retries_left == 0 || !cx.budgets.repeat(cause, cx.now_us) {
             return false;
@@ -226,7 +225,7 @@
     }
 }
 
-/// Tells the view what a bounce says of its server.
+/// Updates the view of a server by the reason of a decline.
 fn note_bounce(server: ServerIndex, reason: BounceReason, cx: &mut CallContext<'_>) {
     match reason {
         BounceReason::Leaving => cx.view.set_leaving(server),
--- a/valetrack/src/placement/crowding.rs
+++ b/valetrack/src/placement/crowding.rs
@@ -1,17 +1,17 @@
-//! How often owners of a service had no room of late, as one entry has found.
+//! Recent share of full owners of a service, as seen by one entry.
 //!
-//! Where a service is full everywhere, each further owner that is asked costs two messages and only says so
-//! as well. On a played fleet of 69 VMs entries made 3.7 attempts for each call in the second after a loss of
-//! power, and the nodes, a tenth of a core each, ran short of processor time for those that had room; it is
-//! 2.2 so. The worth of a day with bursts rose from 0.459 to 0.560 (two plays each).
+//! Where every owner of a service is full, each further attempt costs two messages and is only declined again. In a
+//! fleet of 69 VMs, entries made 3.7 attempts per call in the second after a power loss, and the nodes, with a tenth of
+//! a core each, ran short of processor time for the calls that had room. With the limit derived from this share, they
+//! make 2.2.
 
-/// Weight of a new attempt: some eight of them tell.
+/// Weight of a new attempt: the share reflects about the last eight attempts.
 const STEP: f64 = 0.125;
-/// What was found loses half its weight in this time, in microseconds: room changes with the runs of a
-/// service, which take some tenths of a second.
+/// Time in which the share halves: the room at owners changes with the runs of a service, which take some tenths of a
+/// second.
 const HALF_LIFE_US: f64 = 500_000.0;
 
-/// Share of attempts that found no room.
+/// Share of attempts that found their owner full.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Crowding {
     full_share: f64,
@@ -19,17 +19,17 @@
 }
 
 impl Crowding {
-    /// Takes whether an attempt found an owner full.
+    /// Records whether an attempt found its owner full.
     pub fn found(&mut self, full: bool, now_us: u64) {
         let share = self.share(now_us);
         self.full_share = share + (f64::from(u8::from(full)) - share) * STEP;
         self.seen_us = now_us;
     }
 
-    /// Returns by how many owners a call may be given back for want of room, of `most`.
+    /// Returns how many owners, of at most `most`, may decline a call for lack of room.
     pub fn bounces(&self, most: u8, now_us: u64) -> u8 {
         let room = 1.0 - self.share(now_us);
-        // Both the owner that is asked and the one after it must have room for a further one to matter.
+        // A further attempt only matters if both the next owner and the one after it have room.
         (f64::from(most) * room * room).round() as u8
     }
 
--- a/valetrack/src/placement/driver.rs
+++ b/valetrack/src/placement/driver.rs
@@ -1,4 +1,4 @@
-//! Drives one call: does what its pure part decides, and tells it what came of that.
+//! Drives one call: performs the actions of its state machine and passes the results back to it.
 
 use std::future::pending;
 use std::rc::Rc;
@@ -19,8 +19,7 @@
 use crate::gate::AttemptId;
 use crate::link::message::{AnswerHead, CallHead};
 
-/// Drives a call to its end. What it comes to goes to `reply`; what is still out then is seen to
-/// its end as well.
+/// Drives a call to its end and sends the result to `reply`. Operations that are still pending then are dropped.
 pub(super) async fn drive(
     placer: Rc<Placer>,
     head: CallHead,
@@ -47,18 +46,18 @@
     driver.run().await;
 }
 
-/// One call with all that is out for it.
+/// One call with its pending operations.
 struct CallDriver {
     call: Call,
-    /// Whether the owner is asked how its server does before a hedge is decided on.
+    /// Whether the owner is probed before a hedge is decided on.
     looks_before_hedge: bool,
-    /// Where the call's end goes; none once it is told.
+    /// Channel for the result; none once the result is sent.
     reply: Option<oneshot::Sender<Placed>>,
     out: FuturesUnordered<LocalBoxFuture<'static, AttemptEnd>>,
     answers: Vec<(AnswerHead, Bytes)>,
-    /// When each attempt was sent.
+    /// Send time of each attempt.
     sent: Vec<(AttemptId, Moment)>,
-    /// Kept for its memory; empty between two events.
+    /// Reused buffer; empty between two events.
     actions: Vec<CallAction>,
     hedge_at: Option<Moment>,
     deadline: Moment,
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Lets the pure call decide and does what it decides; returns whether the service is known.
+    /// Passes an event to the state machine and performs its actions. Returns whether the service is known.
     fn handle(&mut self, event: CallEvent) -> bool {
         let mut actions = std::mem::take(&mut self.actions);
         let decided = self.placer.decide(&self.head.service, |cx| self.call.handle(event, cx, &mut actions));
@@ -118,7 +117,7 @@
         }
     }
 
-    /// Returns whether nothing is left to be done for the call; its attempts are then given up.
+    /// Returns whether the call is over. Attempts that are still in flight are abandoned then.
     fn is_over(&mut self) -> bool {
         if self.call.closed() {
             return true;
@@ -127,8 +126,8 @@
         if caller_gone {
             log::info!("event=call.abandoned call={}", self.head.call_id);
         }
-        // Dropping what is out tells the owners to stop: a run that lost to a hedge, or whose caller
-        // has gone, is of no use to anybody.
+        // Dropping the pending operations makes the owners stop: the result of a run that lost to a hedge, or whose
+        // caller has disconnected, is not used.
         let over = caller_gone || self.call.finished();
         if over {
             self.placer.decide(&self.head.service, |cx| self.call.abandon(cx));
@@ -136,7 +135,7 @@
         over
     }
 
-    /// Waits for what happens next; none when there is nothing to tell the call.
+    /// Waits for the next event; none if there is nothing to pass to the state machine.
     async fn next_event(&mut self) -> Option<CallEvent> {
         tokio::select! {
             Some((event, answer)) = self.out.next(), if !self.out.is_empty() => {
@@ -155,7 +154,8 @@
         }
     }
 
-    /// Returns that a hedge is due, or none where the owner is asked first; its reply tells it then.
+    /// Returns the event of a due hedge. Where the owner is probed first, returns none, and the end of the probe brings
+    /// the event.
     fn hedge_event(&mut self) -> Option<CallEvent> {
         match self.call.waits_for() {
             Some(server) if self.looks_before_hedge => {
@@ -168,12 +168,12 @@
 
     fn finish(&mut self, placed: Placed) {
         if let Some(reply) = self.reply.take() {
-            // A caller that has gone away needs no answer.
+            // A caller that has disconnected needs no answer.
             let _ = reply.send(placed);
         }
     }
 
-    /// Puts the answer that a verdict names in its place.
+    /// Returns the result for the caller, with the answer that the verdict refers to.
     fn placed(&mut self, verdict: Verdict) -> Placed {
         let Verdict::Answer(attempt) = verdict else {
             return Placed::Verdict(verdict);
@@ -188,7 +188,7 @@
     }
 }
 
-/// Waits until nobody waits for the call's end any more, if somebody still does.
+/// Waits until the caller stops waiting for the result; never ends once the result is sent.
 async fn gone(reply: &mut Option<oneshot::Sender<Placed>>) {
     match reply {
         Some(reply) => reply.closed().await,
--- a/valetrack/src/placement/message.rs
+++ b/valetrack/src/placement/message.rs
@@ -1,4 +1,4 @@
-//! Messages of placement: what happens to a call, and what is to be done for it.
+//! Messages of placement: events of a call and the actions that follow from them.
 
 use bytes::Bytes;
 use tokio::sync::oneshot;
@@ -7,10 +7,10 @@
 use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport, Patience};
 use crate::link::message::{AnswerHead, CallHead};
 
-/// Index of a server in its service's view; stable as long as the view keeps the server.
+/// Index of a server in the view of its service; stable as long as the view keeps the server.
 pub type ServerIndex = usize;
 
-/// What a caller is told about whether its work ran.
+/// Whether the work of a call ran, as reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
     /// The work ran and this is its answer.
@@ -22,7 +22,7 @@
 }
 
 impl Outcome {
-    /// Returns the word in the `valetrack-outcome` header.
+    /// Returns the value of the `valetrack-outcome` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Ran => "ran",
@@ -32,83 +32,83 @@
     }
 }
 
-/// Something that happened to a call.
+/// An event of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEvent {
-    /// The call came from its caller.
+    /// The call arrived from its caller.
     Begin,
-    /// An attempt brought a whole answer.
+    /// An attempt returned a complete answer.
     Ran {
         /// The attempt.
         attempt: AttemptId,
-        /// Whether the answer is not a failure of the server's own.
+        /// Whether the answer reports no failure of the server itself.
         healthy: bool,
     },
-    /// The owner gave the attempt back without starting it.
+    /// The owner declined the attempt without starting it.
     Bounced {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Reason of the decline.
         reason: BounceReason,
     },
-    /// The attempt started, but its answer is lost for good.
+    /// The attempt started, but its answer is lost.
     Failed {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Cause of the loss.
         code: Code,
     },
-    /// The link could not be opened, so the owner was never sent the attempt.
+    /// The link could not be opened, so the attempt was never sent to the owner.
     Unsent {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The link broke with the attempt outstanding.
+    /// The link broke while the attempt was in flight.
     Broken {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The owner's result of a cancel; none when it could not be had.
+    /// The owner's reply to a cancel; none if no reply arrived.
     CancelResult {
         /// The attempt.
         attempt: AttemptId,
         /// The result.
         result: Option<CancelResult>,
     },
-    /// It is time to hedge.
+    /// A hedge is due.
     HedgeDue,
-    /// The deadline passed.
+    /// The deadline has passed.
     DeadlineDue,
 }
 
 /// Why an attempt is sent.
 ///
-/// Each cause but the first two adds an arrival at the upstreams past the call's first one, and is
-/// paid for by the service's budget of repeats.
+/// Each cause but the first two adds an arrival at the upstreams after the call's first one, and is charged to the
+/// service's budget of repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendCause {
-    /// It is the call's first.
+    /// It is the first attempt of the call.
     First,
-    /// No attempt since the last one that was paid for has reached an upstream.
+    /// No attempt since the last charged one has reached an upstream.
     Unreached,
-    /// An upstream rejected the one before it.
+    /// An upstream rejected the previous attempt.
     Rejected,
-    /// The one before it started and brought no answer, or one of a failure.
+    /// The previous attempt started and returned no answer, or a failure.
     Retry,
-    /// The one before it takes long.
+    /// The previous attempt takes long.
     Hedge,
 }
 
 impl SendCause {
-    /// The causes that are paid for.
+    /// The causes that are charged.
     pub const PAID: [Self; 3] = [Self::Rejected, Self::Retry, Self::Hedge];
 
-    /// Returns whether an attempt sent for it may arrive past the first of its call.
+    /// Returns whether an attempt sent for this cause may arrive after the first one of its call.
     pub fn is_paid(self) -> bool {
         Self::PAID.contains(&self)
     }
 
-    /// Returns the word for it in log lines and metrics.
+    /// Returns the name of the cause in log lines and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::First => "first",
@@ -120,112 +120,111 @@
     }
 }
 
-/// An attempt on its way to the owner of a server.
+/// An attempt that is sent to the owner of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Dispatch {
     /// The attempt.
     pub attempt: AttemptId,
     /// The server.
     pub server: ServerIndex,
-    /// How long it may wait there.
+    /// Queue timeout at the server.
     pub patience: Patience,
-    /// What the call is worth at the best other server that may be asked, in thousandths of an
-    /// answer in time; zero where there is none.
+    /// Utility of the call at the best other server that it may be sent to, as a share of the utility of a timely
+    /// answer; zero if there is none.
     pub elsewhere_permille: u16,
     /// Why it is sent.
     pub cause: SendCause,
-    /// Chance that its run is a repeat, in thousandths: the calls that it makes are repeats then.
+    /// Chance that its run is a repeat, in which case the calls that the run makes are repeats too.
     pub repeat_permille: u16,
 }
 
-/// What the shell of placement must do for a call.
+/// Action that the I/O shell of placement performs for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallAction {
     /// Send an attempt to a server's owner.
     Send(Dispatch),
-    /// Ask the owner to cancel an attempt, on a new connection where the old one broke.
+    /// Ask the owner to cancel an attempt, on a new connection if the old one broke.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
         /// The server.
         server: ServerIndex,
     },
-    /// Send [`CallEvent::HedgeDue`] after this time.
+    /// Send [`CallEvent::HedgeDue`] after this delay.
     ArmHedge {
-        /// Delay, in microseconds.
+        /// The delay.
         after_us: u64,
     },
-    /// Tell the caller.
+    /// Return the verdict to the caller.
     Finish(Verdict),
 }
 
-/// The final answer of a call.
+/// Final result of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Pass on the answer that this attempt brought.
+    /// Return the answer of this attempt.
     Answer(AttemptId),
-    /// Say that the work did not run, and when to come back.
+    /// Report that the work did not run, and when to call again.
     NotRun {
-        /// Why.
+        /// Cause.
         code: Code,
-        /// When to come back, in milliseconds.
+        /// Delay after which the caller may call again.
         retry_after_ms: u32,
     },
-    /// Say that the work may have run.
+    /// Report that the work may have run.
     Unknown {
-        /// Why.
+        /// Cause.
         code: Code,
     },
 }
 
-/// When a call for a service that is not known may come back, in milliseconds: a bundle that names
-/// the service may be on its way.
+/// Retry delay for a call to an unknown service: a bundle that names the service may be in flight.
 const UNKNOWN_RETRY_MS: u32 = 1_000;
-/// The verdict on a call for a service that is not known.
+/// Verdict on a call to an unknown service.
 pub const SERVICE_UNKNOWN: Verdict = Verdict::NotRun { code: Code::ServiceUnknown, retry_after_ms: UNKNOWN_RETRY_MS };
 
-/// When a call that crashes upstreams may come back, in milliseconds: it is tried again minutes later at the
-/// earliest, and sooner it would only be refused again.
+/// Retry delay for a call that crashes upstreams: its next trial is minutes later at the earliest, and until then it
+/// would only be refused again.
 const QUARANTINED_RETRY_MS: u32 = 60_000;
-/// The verdict on a call that crashes upstreams.
+/// Verdict on a call that crashes upstreams.
 pub const QUARANTINED: Verdict = Verdict::NotRun { code: Code::Quarantined, retry_after_ms: QUARANTINED_RETRY_MS };
 
-/// What a call asks of a server.
+/// Requirements of a call on its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
-    /// Time that its run usually takes, in microseconds; zero when unknown.
+    /// Usual duration of its run; zero if unknown.
     pub work_us: u32,
-    /// Time within which its answer is worth the most, in microseconds.
+    /// Time within which its answer has the highest utility.
     pub left_us: u64,
 }
 
-/// A load report with the moment at which it came.
+/// A load report with its time of receipt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SeenLoad {
     /// The report.
     pub load: LoadReport,
-    /// When it came, on this process's monotonic clock, in microseconds.
+    /// Time of receipt, on this process's monotonic clock.
     pub seen_us: u64,
 }
 
 /// A call to be placed.
 #[derive(Debug)]
 pub struct PlaceJob {
-    /// The call; its attempt is filled in.
+    /// Head of the call; placement fills in the attempt.
     pub head: CallHead,
     /// Its body.
     pub body: Bytes,
     /// Whether the work may run more than once.
     pub repeatable: bool,
-    /// Where the result goes.
+    /// Channel for the result.
     pub reply: oneshot::Sender<Placed>,
 }
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Debug)]
 pub enum Placed {
     /// The answer of a server.
     Answer(AnswerHead, Bytes),
-    /// No answer; the verdict tells whether it ran.
+    /// No answer; the verdict states whether the work ran.
     Verdict(Verdict),
 }
--- a/valetrack/src/placement/mod.rs
+++ b/valetrack/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! Which server gets a call: picks, retries, hedges, ejection, budgets.
+//! Placement of calls: server selection, retries, hedges, ejection and budgets.
 //!
-//! Contract: a call gets exactly one verdict; work that may not repeat never has two attempts
-//! that may have started; in every window retries, hedges and calls of repeated runs stay within
-//! their service's budget; at least half of the servers stay in rotation.
+//! Contract: each call gets exactly one verdict; work that is not repeatable never has two attempts that may have
+//! started; in every window, retries, hedges and calls made by repeated runs stay within their service's budget; at
+//! least half of the servers stay in rotation.
 
 mod attempt;
 mod budget;
--- a/valetrack/src/placement/nested.rs
+++ b/valetrack/src/placement/nested.rs
@@ -1,7 +1,7 @@
-//! Calls that the upstream beside an entry makes while it runs calls itself.
+//! Calls that the upstream beside an entry makes during its own runs.
 //!
-//! Calls of a repeated run count as repeats at the service that they go to. No upstream has to pass
-//! a mark on, so where none comes the share of repeats among the runs in progress stands for it.
+//! Calls of a repeated run count as repeats at the service that receives them. Upstreams do not have to pass on the
+//! mark of a repeated run; for a call without a mark, the share of repeats among the runs in progress is used.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,18 +9,17 @@
 use super::sliding::SlidingSum;
 use crate::gate::PERMILLE;
 
-/// Time over which calls for each run are counted, in microseconds: some tens of runs of the
-/// slowest upstreams known.
+/// Time over which the calls per run are counted: some tens of runs of the slowest known upstreams.
 const COUNTED_US: u64 = 10_000_000;
-/// Runs after which the calls for each run are known.
+/// Runs after which the calls per run are used.
 const RUNS_MIN: f64 = 10.0;
 
-/// What one upstream runs, and what it calls meanwhile.
+/// Runs of one upstream, and the calls that it makes during them.
 #[derive(Debug)]
 pub struct NestedCalls {
     /// Runs in progress.
     running: u32,
-    /// Their chances of being repeats, added up, in thousandths.
+    /// Sum of their chances of being repeats.
     repeats_permille: u64,
     runs: SlidingSum,
     calls: HashMap<Arc<str>, SlidingSum>,
@@ -33,14 +32,14 @@
 }
 
 impl NestedCalls {
-    /// Takes the start of a run that is a repeat by this chance, in thousandths.
+    /// Records the start of a run with its chance of being a repeat.
     pub fn run_began(&mut self, repeat_permille: u16, now_us: u64) {
         self.running += 1;
         self.repeats_permille += u64::from(repeat_permille);
         self.runs.add(1.0, now_us);
     }
 
-    /// Takes the end of a run with the chance that it began with.
+    /// Records the end of a run, with the chance recorded at its start.
     pub fn run_ended(&mut self, repeat_permille: u16) {
         self.running = self.running.saturating_sub(1);
         self.repeats_permille = self.repeats_permille.saturating_sub(repeat_permille.into());
@@ -51,7 +50,7 @@
         self.running > 0
     }
 
-    /// Takes a call to a service, and returns the chance that a repeated run made it, in thousandths.
+    /// Records a call to a service, and returns the chance that a repeated run made it.
     pub fn called(&mut self, service: &Arc<str>, now_us: u64) -> u16 {
         let calls = self.calls.entry(service.clone()).or_insert_with(|| SlidingSum::new(COUNTED_US));
         calls.add(1.0, now_us);
@@ -59,13 +58,13 @@
         (self.repeats_permille / running).min(PERMILLE as u64) as u16
     }
 
-    /// Forgets services that are not named any more.
+    /// Removes the services for which `named` returns false.
     pub fn retain(&mut self, named: impl Fn(&str) -> bool) {
         self.calls.retain(|service, _| named(service));
     }
 
-    /// Returns whether a repeated run may start: whether each service that it calls has repeats left
-    /// for it and for the repeats that run already.
+    /// Returns whether a repeated run may start: each service that it calls must have enough repeats left for this run
+    /// and for the repeats in progress.
     pub fn admits_repeat(&mut self, mut left: impl FnMut(&str) -> f64, now_us: u64) -> bool {
         let runs = self.runs.within(now_us);
         if runs < RUNS_MIN {
--- a/valetrack/src/placement/policy.rs
+++ b/valetrack/src/placement/policy.rs
@@ -1,17 +1,17 @@
-//! Rules of the pick.
+//! Rules of server selection.
 
-/// Which rule picks a server; all but [`Policy::Valetrack`] are baselines.
+/// Rule by which a server is picked. All rules except [`Policy::Valetrack`] are baselines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// Least expected time by carried load and own calls.
+    /// Least expected time, by reported load and the entry's own calls.
     Valetrack,
-    /// Any server, evenly.
+    /// A uniformly random server.
     Random,
-    /// One after the other.
+    /// The servers in turn.
     RoundRobin,
-    /// Least calls of this entry in flight.
+    /// Fewest calls of this entry in flight.
     LeastInFlight,
-    /// The better of two by the last report alone, however old.
+    /// The less loaded of two random servers by their last reports, regardless of the age of the reports.
     TwoChoices,
 }
 
--- a/valetrack/src/placement/quantile.rs
+++ b/valetrack/src/placement/quantile.rs
@@ -1,27 +1,27 @@
-//! A quantile of a stream of figures, kept in one number.
+//! Streaming estimate of a quantile, kept in one number.
 
-/// How a quantile is learned.
+/// Parameters of a quantile estimate.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QuantileRule {
-    /// Which quantile, as a share.
+    /// The estimated quantile, as a share.
     pub(super) quantile: f64,
-    /// Step towards a new figure, as a share of the quantile.
+    /// Step towards a new sample, as a share of the estimate.
     pub(super) step: f64,
-    /// The first steps are longer: this share divided by the number of figures.
+    /// The first steps are longer: this share divided by the number of samples.
     pub(super) first_step: f64,
 }
 
-/// A quantile as far as it is learned; zero before the first figure.
+/// Estimate of a quantile; zero before the first sample.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Quantile {
-    /// The quantile.
+    /// Current estimate.
     pub(super) value: f64,
-    /// Figures so far.
+    /// Samples so far.
     pub(super) count: u32,
 }
 
 impl Quantile {
-    /// Takes a figure.
+    /// Records a sample.
     pub(super) fn take(&mut self, figure: f64, rule: &QuantileRule) {
         self.count = self.count.saturating_add(1);
         if self.value == 0.0 {
--- a/valetrack/src/placement/repeat.rs
+++ b/valetrack/src/placement/repeat.rs
@@ -1,47 +1,46 @@
 //! Budget of the repeats of one service's calls at one entry.
 //!
-//! A fleet promises that in no window more attempts arrive past the first of their call than a share
-//! of the calls and a reserve. All entries keep that promise together without a word between them,
-//! since each keeps it for its own calls and for its part of the reserve.
+//! A repeat is an attempt that may arrive at an upstream after the first one of its call: a retry, a hedge, or another
+//! attempt after a rejection. A fleet guarantees that in no window more repeats arrive than a share of the calls plus a
+//! reserve. The entries keep this guarantee without coordination, since each one keeps it for its own calls and for its
+//! part of the reserve.
 
 use super::sliding::SlidingSum;
 
-/// Window of a budget that is no fleet's, in microseconds: as long as the platforms known have it.
+/// Window of a budget without a fleet's guarantee; the known platforms use the same length.
 const WINDOW_US: u64 = 10_000_000;
-/// Part of a fleet's share of calls that its entries spend, in hundredths. An attempt that waits for a
-/// slot arrives some tenths of a second after it was granted, a few hundredths of a window; the rest is
-/// left for calls of repeated runs, of which only the usual number is known beforehand. Ten nodes in
-/// virtual time keep the promise under 40 mixes of troubles with it.
+/// Part of a fleet's share of calls that its entries spend. An attempt that waits for a slot arrives some tenths of a
+/// second after it was granted, a few hundredths of a window. The rest is left for calls of repeated runs, of which
+/// only the average number is known beforehand.
 const SHARE_SPENT_PERCENT: f64 = 90.0;
-/// Part of a fleet's reserve that its entries spend, in hundredths: half of what the share has, since
-/// two lives of one node may spend theirs within one window.
+/// Part of a fleet's reserve that its entries spend: half of the figure for the share, since two incarnations of one
+/// node may each spend theirs within one window.
 const RESERVE_SPENT_PERCENT: f64 = SHARE_SPENT_PERCENT / 2.0;
 
-/// How many attempts past the first of their call may arrive at a service, over the whole fleet.
+/// Upper limit of the repeats that may arrive at a service, over the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RepeatPromise {
-    /// Repeats for each hundred calls.
+    /// Repeats per hundred calls.
     pub percent: u32,
-    /// Repeats beyond that in any window.
+    /// Repeats beyond that share in any window.
     pub reserve: u32,
-    /// Length of the windows, in microseconds.
+    /// Length of the windows.
     pub window_us: u64,
 }
 
-/// Budget of repeats that holds in every window, whenever calls and repeats come.
+/// Budget of repeats that holds in every window, whenever calls and repeats arrive.
 ///
-/// It counts what was spent and earned lately instead of saving tokens up: with tokens a node that
-/// was quiet spends in one window what it earned in others, and one that starts again has new ones.
-/// In virtual time, ten nodes that start again one after the other made 245 repeats of 600 calls in
-/// ten seconds by their tokens, where 178 are allowed.
+/// It counts recent calls and repeats instead of accumulating tokens. With tokens, a node that was idle spends the
+/// tokens of earlier windows in one window, and a restarted node has a full bucket again: ten nodes that restarted one
+/// after the other made 245 repeats of 600 calls in ten seconds, where 178 are allowed.
 #[derive(Debug, Clone, Copy)]
 pub struct RepeatBudget {
     share: f64,
     /// This entry's part of the reserve.
     reserve: f64,
-    /// Whether no other node is known, so that the part is the whole.
+    /// Whether no other node is known, so that this part is the whole reserve.
     alone: bool,
-    /// When the entry started, in microseconds; none where no earlier life has spent its part.
+    /// When the entry started; none if no earlier incarnation has spent its part.
     started_us: Option<u64>,
     window_us: u64,
     calls: SlidingSum,
@@ -49,8 +48,7 @@
 }
 
 impl RepeatBudget {
-    /// Makes a budget of one entry alone: `percent` repeats for each hundred calls, and `reserve`
-    /// repeats beyond that.
+    /// Creates the budget of a single entry: `percent` repeats per hundred calls, and `reserve` repeats beyond that.
     pub fn new(percent: u32, reserve: u32) -> Self {
         Self {
             share: f64::from(percent) / 100.0,
@@ -63,10 +61,10 @@
         }
     }
 
-    /// Makes an entry's part of a fleet's promise at the entry's start.
+    /// Creates an entry's part of a fleet's guarantee at the start of the entry.
     ///
-    /// Its earlier life may have spent its part of the reserve, so this one gets to it over a whole
-    /// window. Until it is [configured](Self::configure) for the first time it has none.
+    /// An earlier incarnation may have spent its part of the reserve, so the part of this one grows to its full size
+    /// over one window. It is empty until [`configure`](Self::configure) is called for the first time.
     pub fn of_fleet(promise: RepeatPromise, now_us: u64) -> Self {
         Self {
             share: spent_share(promise),
@@ -79,15 +77,15 @@
         }
     }
 
-    /// Takes a promise anew, of a fleet of `members` nodes.
+    /// Applies a guarantee to an entry of a fleet of `members` nodes.
     pub fn configure(&mut self, promise: RepeatPromise, members: u32) {
         self.share = spent_share(promise);
         self.alone = members <= 1;
         self.reserve = f64::from(promise.reserve) * RESERVE_SPENT_PERCENT / 100.0 / f64::from(members.max(1));
     }
 
-    /// Counts a call of which `repeat` (0 to 1) is itself a repeat: the chance that the run that made
-    /// it is one. Such a call earns nothing and is charged, since its caller can't be refused.
+    /// Records a call with the chance (0 to 1) that the call is itself a repeat, because a repeated run made it. Such a
+    /// call earns nothing and is charged, since its caller can't be refused.
     pub fn begin(&mut self, repeat: f64, now_us: u64) {
         self.calls.add((1.0 - repeat) as f32, now_us);
         if repeat > 0.0 {
@@ -95,7 +93,7 @@
         }
     }
 
-    /// Takes one repeat out, if there is one left.
+    /// Takes one repeat if there is one left.
     pub fn take(&mut self, now_us: u64) -> bool {
         let granted = self.left(now_us) >= 1.0;
         if granted {
@@ -104,12 +102,12 @@
         granted
     }
 
-    /// Returns how many repeats are left; less than nothing where calls of repeated runs were more.
+    /// Returns the number of repeats left; negative if calls of repeated runs have exceeded the budget.
     pub fn left(&mut self, now_us: u64) -> f64 {
         self.share * self.calls.within(now_us) + self.reserve_at(now_us) - self.repeats.over(now_us)
     }
 
-    /// Returns this entry's part of the reserve, as it is once the entry is a window old.
+    /// Returns this entry's part of the reserve at its full size.
     pub fn reserve(&self) -> f64 {
         self.reserve
     }
@@ -120,33 +118,33 @@
         };
         let age_us = now_us.saturating_sub(started_us).min(self.window_us);
         if self.alone && age_us < self.window_us {
-            // It has not heard of the others yet, and they count on their parts.
+            // The entry has no record of the other nodes yet, and they rely on their parts.
             return 0.0;
         }
         self.reserve * age_us as f64 / self.window_us as f64
     }
 }
 
-/// Returns how many repeats entries spend for each call.
+/// Returns the repeats that entries spend per call.
 fn spent_share(promise: RepeatPromise) -> f64 {
     f64::from(promise.percent) / 100.0 * SHARE_SPENT_PERCENT / 100.0
 }
 
-/// How long a fleet is remembered as larger than it seems to be, in microseconds: entries that lapse
-/// in an outage of the store, or a view that has just begun, are no smaller fleet. An outage of some
-/// tens of seconds is usual; a fleet that shrinks for good spends less for that long.
+/// How long a fleet counts as larger than its known members suggest: entries that expire in an outage of the store, or
+/// a view that has just started, do not make the fleet smaller. Outages of some tens of seconds are usual, and a fleet
+/// that shrinks for good only spends less during this time.
 const REMEMBERED_US: u64 = 60_000_000;
 
-/// The number of nodes that share a fleet's promises.
+/// Number of nodes that share a fleet's guarantees.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FleetSize {
     members: u32,
-    /// Since when fewer are known, in microseconds.
+    /// Since when fewer members are known.
     fewer_since_us: Option<u64>,
 }
 
 impl FleetSize {
-    /// Takes how many nodes are known now, and returns among how many the promises are shared.
+    /// Records the number of known members, and returns the number of nodes that share the guarantees.
     pub fn known(&mut self, members: u32, now_us: u64) -> u32 {
         if members >= self.members {
             *self = Self { members, fewer_since_us: None };
--- a/valetrack/src/placement/run.rs
+++ b/valetrack/src/placement/run.rs
@@ -1,5 +1,5 @@
-//! Shell of placement: what an entry knows of servers, and how it stays fresh. It shares the thread
-//! of the caller listener, since each caller's task drives its own call.
+//! I/O shell of placement: the views of servers at an entry, and the tasks that update them. It shares the thread of
+//! the caller listener, since the task of each caller drives its own call.
 
 mod ledger;
 mod probe;
@@ -35,18 +35,18 @@
 use crate::metric::Metrics;
 use crate::timeline::log as events;
 
-/// Time that an owner has to answer a cancel or a probe, in milliseconds.
+/// Time limit of an owner's reply to a cancel or a probe.
 pub(super) const PROMPT_MS: u64 = 150;
 
 struct Inner {
     services: HashMap<Arc<str>, ServiceState>,
-    /// Usual times of runs by route.
+    /// Usual run times by route.
     works: HashMap<Arc<str>, WorkEstimate>,
-    /// Times that callers give by route.
+    /// Usual time limits of callers by route.
     caller_times: HashMap<Arc<str>, CallerTime>,
-    /// Routes that upstreams call on their own.
+    /// Routes that upstreams call during their runs.
     nested_routes: HashSet<Arc<str>>,
-    /// What the upstream beside this entry runs and calls.
+    /// Runs of the upstream beside this entry, and the calls that it makes during them.
     nested_calls: NestedCalls,
     fleet: FleetSize,
     rng: fastrand::Rng,
@@ -73,34 +73,34 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// What the placer is joined to.
+/// Settings and channels of a placer.
 pub struct PlacerParts {
     /// Name of this VM.
     pub vm: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Cost of leaving the failure domain, in microseconds.
+    /// Cost of leaving the failure domain.
     pub domain_cost_us: u32,
-    /// Rule of the pick.
+    /// Rule of server selection.
     pub policy: Policy,
     /// Seed of random choices.
     pub seed: u64,
-    /// Random number of this process's life.
+    /// Random number of this process's incarnation.
     pub entry: u64,
-    /// Ring to the link thread.
+    /// Channel to the link thread.
     pub to_link: Sender<LinkJob>,
-    /// Ring to the members.
+    /// Channel to the member task.
     pub to_member: Sender<MemberJob>,
     /// The bundle in force.
     pub bundle: watch::Receiver<Option<Arc<InForce>>>,
-    /// VMs.
+    /// Known members of the fleet.
     pub members: watch::Receiver<Arc<Members>>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
 }
 
 impl Placer {
-    /// Makes a placer that knows no service yet; `crashes` is what this node knows of calls that crash upstreams.
+    /// Creates a placer without known services; `crashes` is this node's record of calls that crash upstreams.
     pub fn new(parts: PlacerParts, crashes: Rc<Quarantine>) -> Rc<Self> {
         let inner = Inner {
             services: HashMap::new(),
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Draws the next attempt of this entry.
+    /// Returns the identifier of the next attempt of this entry.
     pub fn next_attempt(&self) -> AttemptId {
         let mut inner = self.inner.borrow_mut();
         let seq = inner.next_seq;
@@ -138,7 +138,7 @@
         AttemptId { entry: self.entry, seq }
     }
 
-    /// Follows changes of bundle and members; runs as long as the placer.
+    /// Applies changes of the bundle and of the members, until one of their channels closes.
     pub async fn follow(self: Rc<Self>) {
         let mut bundle = self.bundle.clone();
         let mut members = self.members.clone();
@@ -181,8 +181,7 @@
         }
     }
 
-    /// Places one call; the future ends with the verdict, and what is still out is seen to its
-    /// end behind it.
+    /// Places one call and returns its result. Operations that are still pending then are dropped.
     pub async fn place(self: Rc<Self>, mut head: CallHead, body: Bytes, rule: CallRule) -> Placed {
         if self.crashes.refuses(&head, &body) {
             return Placed::Verdict(QUARANTINED);
@@ -195,8 +194,8 @@
         placed.await.unwrap_or(lost)
     }
 
-    /// Takes the time that the caller of a route still gives, and returns how long it has waited before,
-    /// in milliseconds.
+    /// Records the time limit that a caller of a route sends, and returns how long the caller has waited since its
+    /// first call.
     pub fn waited_ms(&self, route: &Arc<str>, given_ms: u32) -> u32 {
         let mut inner = self.inner.borrow_mut();
         match inner.caller_times.get_mut(route) {
@@ -205,13 +204,13 @@
         }
     }
 
-    /// Returns what a call of a route asks of a server.
+    /// Returns the requirements of a call of a route on its server.
     pub fn demand(&self, route: &Arc<str>, objective_ms: u32) -> Demand {
         let inner = self.inner.borrow();
         inner.works.get(route).copied().unwrap_or_default().demand(objective_ms)
     }
 
-    /// Takes the time of one run of a route.
+    /// Records the duration of one run of a route.
     pub fn ran(&self, route: &Arc<str>, ran_us: u32) {
         let mut inner = self.inner.borrow_mut();
         if let Some(work) = inner.works.get_mut(route) {
@@ -223,8 +222,7 @@
         inner.works.insert(route.clone(), work);
     }
 
-    /// Returns how calls of a service are placed; `attempts_max` bounds the upstreams that a
-    /// call may run on.
+    /// Returns the placement rule for calls of a service; `attempts_max` limits the upstreams that a call may run on.
     pub fn rule(&self, service: &str, repeatable: bool, attempts_max: Option<u8>) -> Option<CallRule> {
         let in_force = self.bundle.borrow();
         let rule = in_force.as_ref()?.bundle.service(service)?;
@@ -235,7 +233,7 @@
         Some(rule)
     }
 
-    /// Lets a call decide on the view and the budgets of its service; none if that is not known.
+    /// Runs a decision of a call on the view and the budgets of its service; none if the service is unknown.
     pub(super) fn decide<R>(&self, service: &str, decision: impl FnOnce(&mut CallContext<'_>) -> R) -> Option<R> {
         let mut inner = self.inner.borrow_mut();
         let Inner { services, rng, next_seq, .. } = &mut *inner;
@@ -247,31 +245,31 @@
         Some(decided)
     }
 
-    /// Returns where the node of a server is, if the server is still known.
+    /// Returns the node of a server, if the server is still known.
     pub(super) fn target(&self, service: &str, server: ServerIndex) -> Option<Target> {
         let inner = self.inner.borrow();
         let candidate = inner.services.get(service)?.targets.get(server)?.as_ref()?;
         Some(Target { vm: candidate.vm.clone(), addr: candidate.link_addr })
     }
 
-    /// Returns whether a target is this node itself.
+    /// Returns whether a target is this node.
     pub(super) fn is_own(&self, target: &Target) -> bool {
         target.vm == self.vm
     }
 
-    /// Returns how old the last report of a server's load is.
+    /// Returns the age of the last load report of a server.
     pub(super) fn report_age_ms(&self, service: &str, server: ServerIndex) -> Option<u64> {
         let inner = self.inner.borrow();
         let seen_us = inner.services.get(service)?.view.seen_us(server)?;
         Some(now_us().saturating_sub(seen_us) / 1000)
     }
 
-    /// Asks another node through the ring of the link thread.
+    /// Sends a request to another node through the link thread.
     pub async fn ask(&self, target: Target, question: Question, limit: Duration) -> LinkResult {
         peer::ask(&self.to_link, target, question, limit).await
     }
 
-    /// Takes what rode on a reply.
+    /// Applies the state that is piggybacked on a reply.
     pub(super) fn learn(&self, service: &str, server: ServerIndex, result: &LinkResult) {
         let LinkResult::Reply(answered) = result else {
             return;
@@ -288,19 +286,19 @@
         };
         let job = match number < riding.bundle {
             true => MemberJob::Bundle { number: riding.bundle, from: target },
-            // Only a node that has just started lacks a bundle for long; others are about to get it.
+            // Only a node that has just started lacks a bundle for long; others are about to receive it.
             false if riding.bundle == 0 => MemberJob::Behind { peer: target },
             false => return,
         };
-        // A full ring is no loss: the next reply tells it again.
+        // If the channel is full, the next reply triggers the job again.
         let _ = self.to_member.try_send(job);
     }
 
-    /// Has the members ask an owner that has given a call back since its failure domain is evacuated: a
-    /// node that the store turns away learns of it in no other way.
+    /// Has the members query an owner that has declined a call because its failure domain is evacuated: a node whose
+    /// requests the store refuses has no other way to learn of the evacuation.
     pub(super) fn learn_evacuation(&self, service: &str, server: ServerIndex) {
         if let Some(from) = self.target(service, server) {
-            // A full ring is no loss: the next bounce tells it again.
+            // If the channel is full, the next decline triggers the job again.
             let _ = self.to_member.try_send(MemberJob::Evacuation { from });
         }
     }
@@ -312,7 +310,7 @@
         }
     }
 
-    /// Leaves a server out for a while, since its owner does not reply.
+    /// Takes a server out of rotation for a while, since its owner does not reply.
     pub(super) fn suspect(&self, service: &str, server: ServerIndex) {
         let mut inner = self.inner.borrow_mut();
         if let Some(state) = inner.services.get_mut(service) {
--- a/valetrack/src/placement/run/ledger.rs
+++ b/valetrack/src/placement/run/ledger.rs
@@ -1,5 +1,5 @@
-//! Account of repeats at an entry: calls that repeated runs of its own upstream make, and what is left
-//! of each service's budget.
+//! Account of repeats at an entry: calls made by repeated runs of its own upstream, and the repeats left in each
+//! service's budget.
 
 use std::sync::Arc;
 
@@ -9,8 +9,8 @@
 use crate::link::message::CallHead;
 
 impl Placer {
-    /// Marks a call with the chance that a repeated run of the own upstream made it, where no mark came
-    /// with it, and counts it.
+    /// Sets the chance that a repeated run of the entry's own upstream made a call, unless the call carries a higher
+    /// one, and counts it.
     pub(super) fn mark_nested(&self, head: &mut CallHead) {
         let inner = &mut *self.inner.borrow_mut();
         if inner.nested_routes.contains(&head.route) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes whether upstreams call a route on their own, as an owner of its service sees it.
+    /// Records whether upstreams call a route during their runs, as reported by an owner of its service.
     pub(in crate::placement) fn learn_nested(&self, route: &Arc<str>, nested: Option<bool>) {
         let mut inner = self.inner.borrow_mut();
         match nested {
@@ -33,17 +33,17 @@
         };
     }
 
-    /// Returns whether owners have told that upstreams call a route on their own.
+    /// Returns whether owners have reported that upstreams call a route during their runs.
     pub(crate) fn is_nested(&self, route: &str) -> bool {
         self.inner.borrow().nested_routes.contains(route)
     }
 
-    /// Returns whether the upstream beside this entry runs calls now.
+    /// Returns whether the upstream beside this entry has runs in progress.
     pub(crate) fn is_upstream_running(&self) -> bool {
         self.inner.borrow().nested_calls.is_running()
     }
 
-    /// Returns how many repeats of a service's calls this entry may still send now.
+    /// Returns how many repeats of a service's calls this entry may still send.
     pub(in crate::placement) fn repeats_left(&self, service: &str) -> Option<f64> {
         let left = self.inner.borrow_mut().services.get_mut(service)?.budgets.retry.left(now_us());
         self.metrics.repeats_left.with_label_values(&[service]).set(left);
@@ -57,7 +57,7 @@
         let Inner { services, nested_calls, .. } = &mut *self.inner.borrow_mut();
         let left = |service: &str| {
             let state = services.get_mut(service);
-            // A service that is no longer known gets no call of the run.
+            // The run cannot call a service that is no longer known.
             state.map_or(f64::INFINITY, |state| state.budgets.retry.left(now_us))
         };
         nested_calls.admits_repeat(left, now_us)
--- a/valetrack/src/placement/run/probe.rs
+++ b/valetrack/src/placement/run/probe.rs
@@ -1,4 +1,4 @@
-//! Probes of servers whose load was not heard of for long, out of the budget of measuring.
+//! Probes of servers without a recent load report, within the budget of measurements.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 use crate::placement::message::ServerIndex;
 use crate::placement::service::ServiceState;
 
-/// Bytes on the wire of one probe, there and back, headers of UDP and QUIC included.
+/// Bytes on the wire of one probe and its reply, including the headers of UDP and QUIC.
 pub const PROBE_BYTES: u64 = 220;
-/// Pause between two looks at which views are old while there are calls, in milliseconds.
+/// Interval of the search for stale views while calls arrive.
 const PROBE_PERIOD_MS: u64 = 20;
-/// The same while there are none, in milliseconds.
+/// Interval of the search for stale views while no calls arrive.
 const PROBE_QUIET_MS: u64 = 250;
 
 impl Placer {
-    /// Probes views that have grown old, out of the budget; runs as long as the placer.
+    /// Probes stale views within the budget, for as long as the placer runs.
     pub async fn probe(self: Rc<Self>) {
         let mut seen_seq = 0;
         loop {
@@ -36,15 +36,15 @@
             while let Some((service, server)) = self.next_probe(u64::from(stale_ms) * 1000) {
                 let placer = self.clone();
                 tokio::task::spawn_local(async move {
-                    // A view that stays old is probed again.
+                    // A view that stays stale is probed again.
                     placer.probe_one(&service, server).await;
                 });
             }
         }
     }
 
-    /// Returns the server with the oldest view of a service that this entry uses, if the budget
-    /// has a probe for it.
+    /// Returns the server with the oldest view among the services that this entry uses, and charges its probe, if the
+    /// budget allows one.
     fn next_probe(&self, stale_us: u64) -> Option<(Arc<str>, ServerIndex)> {
         let mut inner = self.inner.borrow_mut();
         let now = now_us();
@@ -63,7 +63,7 @@
         Some((name, server))
     }
 
-    /// Asks a server's owner how it does; returns whether it replied.
+    /// Probes a server's owner and returns whether it replied.
     pub(in crate::placement) async fn probe_one(&self, service: &str, server: ServerIndex) -> bool {
         let Some(target) = self.target(service, server) else {
             return false;
--- a/valetrack/src/placement/service.rs
+++ b/valetrack/src/placement/service.rs
@@ -1,4 +1,4 @@
-//! What an entry keeps of one service, with a stable index for every server.
+//! State of one service at an entry, with a stable index for each server.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -11,26 +11,26 @@
 use crate::member::Candidate;
 use crate::rollout::ServerPart;
 
-/// Most servers of a service that one entry considers; the other places are for lives of VMs that
-/// replace earlier ones, which keep theirs until nothing is out at them.
+/// Maximum number of servers of a service that one entry considers. The remaining indexes are for new incarnations of
+/// VMs, whose earlier incarnations keep theirs until no attempt is in flight there.
 pub(super) const CONSIDERED_MAX: usize = MAX_SERVERS - 8;
 /// Retries and hedges of one entry beyond their shares, in a window.
 const SHARE_BURST: u32 = 20;
-/// The way to another VM of the failure domain costs this many times less than leaving the domain.
+/// Divisor of the cost of leaving the failure domain that gives the cost of reaching another VM of the same domain.
 const NEAR_DIVISOR: u32 = 10;
 
-/// What an entry keeps of one service.
+/// State of one service at an entry.
 pub(super) struct ServiceState {
     /// Its servers.
     pub(super) view: ServiceView,
-    /// Shares of its calls that may be retried and hedged.
+    /// Budgets of its retries and hedges.
     pub(super) budgets: Budgets,
-    /// Where the node of each server is.
+    /// Node of each server.
     pub(super) targets: Vec<Option<Candidate>>,
 }
 
 impl ServiceState {
-    /// Makes the state of a service of which no server is known yet.
+    /// Creates the state of a service without known servers.
     pub(super) fn new(rule: &ServiceRule, policy: Policy, now_us: u64) -> Self {
         let budgets = match repeat_promise(rule) {
             Some(promise) => Budgets::of_fleet(promise, now_us),
@@ -42,14 +42,14 @@
         Self { view: ServiceView::new(policy), budgets, targets: Vec::new() }
     }
 
-    /// Takes what the fleet of `members` nodes promises on repeats of the service, if it does.
+    /// Applies the guarantee on repeats of the service, if it has one, in a fleet of `members` nodes.
     pub(super) fn configure(&mut self, rule: &ServiceRule, members: u32) {
         if let Some(promise) = repeat_promise(rule) {
             self.budgets.retry.configure(promise, members);
         }
     }
 
-    /// Gives every server a stable index: a later life of a VM gets one of its own.
+    /// Assigns a stable index to each server, and a separate one to a new incarnation of a VM.
     pub(super) fn sync(
         &mut self,
         candidates: impl Iterator<Item = Candidate>,
@@ -82,10 +82,10 @@
         }
     }
 
-    /// Sets the share of calls that go to the upstreams on trial, by how many there are beside the others.
+    /// Sets the traffic share of the upstreams on trial, by their number and that of the other upstreams.
     fn share_trial(&mut self, candidates: &[Candidate], vm: &str) {
         let count = |part| candidates.iter().filter(|candidate| candidate.part == part).count();
-        // Entries do not all begin with the new version.
+        // Entries start at different points of the cycle, so that not all of them begin with the new version.
         let mut hasher = DefaultHasher::new();
         vm.hash(&mut hasher);
         let start_permille = (hasher.finish() % 1_000) as u32;
@@ -116,9 +116,9 @@
     }
 }
 
-/// Returns the servers that one entry considers, where a service has more than [`CONSIDERED_MAX`]:
-/// those of its own failure domain first, the others by a hash of both VMs, so that entries choose
-/// differently and every server is considered by about as many of them.
+/// Returns the servers that one entry considers if a service has more than [`CONSIDERED_MAX`]: those of its own failure
+/// domain first, then the others by a hash of both VMs, so that entries choose differently and each server is
+/// considered by about the same number of entries.
 pub fn considered(mut candidates: Vec<Candidate>, domain: &str, vm: &str) -> Vec<Candidate> {
     if candidates.len() <= CONSIDERED_MAX {
         return candidates;
@@ -126,20 +126,20 @@
     candidates.sort_by_cached_key(|candidate| {
         let mut hasher = DefaultHasher::new();
         (vm, &*candidate.vm).hash(&mut hasher);
-        // The few on trial have to be known to every entry for their share to come to them.
+        // Upstreams on trial are few, and every entry has to know them for their traffic share to reach them.
         (candidate.part != ServerPart::Trial, &*candidate.domain != domain, hasher.finish())
     });
     candidates.truncate(CONSIDERED_MAX);
     candidates
 }
 
-/// Returns what a fleet promises on repeats of a service, if its rule has a budget of the fleet.
+/// Returns the guarantee on repeats of a service, if its rule has a fleet-wide budget.
 fn repeat_promise(rule: &ServiceRule) -> Option<RepeatPromise> {
     let FleetRetries { reserve, window_ms } = rule.fleet_retries?;
     Some(RepeatPromise { percent: rule.retry_percent, reserve, window_us: u64::from(window_ms) * 1000 })
 }
 
-/// Returns how calls of a service are placed by its rule in the bundle.
+/// Returns the placement rule for calls of a service.
 pub(super) fn call_rule(rule: &ServiceRule, repeatable: bool) -> CallRule {
     let hedging = repeatable && rule.hedge_percent > 0;
     CallRule {
--- a/valetrack/src/placement/set.rs
+++ b/valetrack/src/placement/set.rs
@@ -1,4 +1,4 @@
-//! A set of servers that is copied, not allocated.
+//! A set of servers that is copied without allocation.
 
 use super::message::ServerIndex;
 
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -1,4 +1,4 @@
-//! An entry's view of the servers of one service, and the pick.
+//! View of the servers of one service at an entry, and server selection.
 
 mod worth;
 
@@ -9,54 +9,54 @@
 use crate::gate::LoadReport;
 use crate::rollout::{ServerPart, TrialShare};
 
-/// Largest number of servers of one service that placement considers.
+/// Maximum number of servers of one service that placement considers.
 pub const MAX_SERVERS: usize = 64;
-/// Service time assumed for a server that was never heard of, in microseconds.
+/// Service time assumed for a server without a load report.
 const FIRST_SERVICE_US: u32 = 2_000;
-/// Slots assumed for a server that was never heard of.
+/// Slots assumed for a server without a load report.
 const FIRST_LIMIT: u16 = 4;
-/// A report loses half its weight in this time, in microseconds.
+/// Time in which the weight of a report halves.
 const HALF_LIFE_US: u64 = 20_000;
-/// Servers whose scores differ by less than this share of the best count as equal.
+/// Servers whose scores differ by less than this share of the best score count as equal.
 const TIE_SHARE: f64 = 0.05;
 /// Consecutive failures after which a server is ejected.
 const EJECT_FAILURES: u32 = 5;
-/// Shortest ejection, in microseconds.
+/// Shortest ejection.
 const EJECT_US: u64 = 1_000_000;
-/// How often the time doubles for which a server is left out whose node cannot be reached: whoever
-/// tries it again waits for a handshake, and it may have come back meanwhile.
+/// How often the ejection of a server doubles while its node is unreachable. Each further try waits for a handshake,
+/// but the server may have come back meanwhile.
 const SUSPECT_DOUBLINGS: u32 = 2;
-/// Longest ejection, in microseconds.
+/// Longest ejection.
 const EJECT_MAX_US: u64 = 30_000_000;
-/// For this long a report that a server is full is taken at its word, in microseconds.
+/// Time for which a report that a server is full is relied on.
 pub const ROOM_US: u64 = 10_000;
-/// A service without a pick for this many stale times is not worth a probe.
+/// A service without a pick for this many stale times is not probed.
 const USED_STALES: u64 = 10;
-/// A stalled server's expected time grows by this much, in microseconds.
+/// Addition to the expected time of a stalled server.
 const STALL_PENALTY_US: f64 = 25_000.0;
-/// Every failed call of late adds this many service times to the score.
+/// Service times added to the score of a server whose recent calls all failed; in proportion if only some failed.
 const FAILURE_WEIGHT: f64 = 4.0;
 
 #[derive(Debug, Clone, Copy)]
 struct ServerView {
-    /// Present in the roster; a slot of the view is free otherwise.
+    /// Whether the server is in the roster; its index is free otherwise.
     present: bool,
     leaving: bool,
-    /// Expected time on the network there and back, in microseconds.
+    /// Expected network round-trip time.
     network_us: u32,
-    /// Whether the way there leaves the failure domain, where bytes are dear.
+    /// Whether the server is in another failure domain, to which traffic is expensive.
     far: bool,
     seen: Option<SeenLoad>,
-    /// Calls of this entry that have no answer yet.
+    /// Attempts of this entry in flight.
     outstanding: u32,
-    /// `outstanding` when the last report came.
+    /// `outstanding` at the time of the last report.
     outstanding_seen: u32,
     failures: u32,
     failure_share: f64,
     ejected_until_us: u64,
     ejections: u32,
     probed_us: u64,
-    /// What it may get while its service is rolled out.
+    /// Traffic share while its service is rolled out.
     part: ServerPart,
 }
 
@@ -77,13 +77,13 @@
 };
 
 impl ServerView {
-    /// Returns the calls of other entries that a report told of.
+    /// Returns the calls of other entries in a report.
     fn seen_others(&self, load: &LoadReport) -> f64 {
         (f64::from(load.in_flight) + f64::from(load.queued) - f64::from(self.outstanding_seen)).max(0.0)
     }
 }
 
-/// What one entry knows of the servers of one service.
+/// State of the servers of one service, as known to one entry.
 #[derive(Debug, Clone)]
 pub struct ServiceView {
     servers: Vec<ServerView>,
@@ -91,13 +91,13 @@
     turn: usize,
     used_us: Option<u64>,
     crowding: Crowding,
-    /// Whether any server gets other calls than the others.
+    /// Whether the traffic share of any server differs from the usual one.
     has_parts: bool,
     trial: TrialShare,
 }
 
 impl ServiceView {
-    /// Makes a view with no servers.
+    /// Creates a view without servers.
     pub fn new(policy: Policy) -> Self {
         Self {
             servers: Vec::new(),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sets whether a server is in the roster, and what the way to it costs.
+    /// Sets whether a server is in the roster, and its network round-trip time.
     ///
     /// # Panics
     ///
@@ -128,14 +128,14 @@
         view.network_us = network_us;
     }
 
-    /// Sets whether the way to a server leaves the failure domain.
+    /// Sets whether a server is in another failure domain.
     pub fn set_far(&mut self, server: ServerIndex, far: bool) {
         if let Some(view) = self.servers.get_mut(server) {
             view.far = far;
         }
     }
 
-    /// Sets what a server may get while its service is rolled out.
+    /// Sets the traffic share of a server while its service is rolled out.
     pub fn set_part(&mut self, server: ServerIndex, part: ServerPart) {
         if let Some(view) = self.servers.get_mut(server) {
             view.part = part;
@@ -143,18 +143,18 @@
         self.has_parts = self.servers.iter().any(|view| view.present && view.part != ServerPart::Usual);
     }
 
-    /// Sets how many servers are on trial beside so many others; `start_permille` is where this entry begins in the
-    /// cycle of their share.
+    /// Sets the numbers of servers on trial and of other servers. `start_permille` is the point at which this entry
+    /// begins in the cycle of the trial's share.
     pub fn set_trial_share(&mut self, trial: usize, usual: usize, start_permille: u32) {
         self.trial.configure(trial, usual, start_permille);
     }
 
-    /// Returns whether the next call is to go to a server on trial.
+    /// Returns whether the next call goes to a server on trial.
     pub fn takes_trial(&mut self) -> bool {
         self.has_parts && self.trial.takes_next()
     }
 
-    /// Returns the servers that are not of a part.
+    /// Returns the servers that have another traffic share than `part`.
     pub fn outside(&self, part: ServerPart) -> ServerSet {
         let mut outside = ServerSet::default();
         if !self.has_parts {
@@ -166,8 +166,8 @@
         outside
     }
 
-    /// Returns the servers in other failure domains, if the own one has some in rotation outside
-    /// `excluded`; there is no choice otherwise.
+    /// Returns the servers in other failure domains if a server of the own domain is in rotation outside `excluded`;
+    /// otherwise the set is empty, since there is no choice.
     pub fn far_where_near_is_open(&self, excluded: ServerSet, now_us: u64) -> ServerSet {
         let rotation = self.rotation(now_us);
         let mut far = ServerSet::default();
@@ -182,19 +182,19 @@
         if near_is_open { far } else { ServerSet::default() }
     }
 
-    /// Returns whether the way to a server leaves the failure domain.
+    /// Returns whether a server is in another failure domain.
     pub fn is_far(&self, server: ServerIndex) -> bool {
         self.servers.get(server).is_some_and(|view| view.far)
     }
 
-    /// Marks a server as leaving; it never comes back under the same index.
+    /// Marks a server as leaving; it never returns under the same index.
     pub fn set_leaving(&mut self, server: ServerIndex) {
         if let Some(view) = self.servers.get_mut(server) {
             view.leaving = true;
         }
     }
 
-    /// Takes a load report that came at `now_us`.
+    /// Records a load report that was received at `now_us`.
     pub fn report(&mut self, server: ServerIndex, load: LoadReport, now_us: u64) {
         let Some(view) = self.servers.get_mut(server) else {
             return;
@@ -204,21 +204,21 @@
         view.outstanding_seen = view.outstanding;
     }
 
-    /// Counts an attempt that goes out to a server.
+    /// Counts an attempt sent to a server.
     pub fn sent(&mut self, server: ServerIndex) {
         if let Some(view) = self.servers.get_mut(server) {
             view.outstanding += 1;
         }
     }
 
-    /// Counts an attempt that came back.
+    /// Counts the end of an attempt at a server.
     pub fn returned(&mut self, server: ServerIndex) {
         if let Some(view) = self.servers.get_mut(server) {
             view.outstanding = view.outstanding.saturating_sub(1);
         }
     }
 
-    /// Takes note of how an attempt that ran, or a link that broke, speaks of the server's health.
+    /// Records whether an attempt that ran, or a link that broke, showed the server to be healthy.
     pub fn judge(&mut self, server: ServerIndex, healthy: bool, now_us: u64) {
         let Some(view) = self.servers.get_mut(server) else {
             return;
@@ -238,17 +238,17 @@
         }
     }
 
-    /// Takes whether an attempt found a server full.
+    /// Records whether an attempt found a server full.
     pub fn found_full(&mut self, full: bool, now_us: u64) {
         self.crowding.found(full, now_us);
     }
 
-    /// Returns by how many owners a call may be given back for want of room, of `most`.
+    /// Returns how many owners, of at most `most`, may decline a call for lack of room.
     pub fn bounces(&self, most: u8, now_us: u64) -> u8 {
         self.crowding.bounces(most, now_us)
     }
 
-    /// Takes a server out of rotation at once, since its node cannot be reached.
+    /// Takes a server out of rotation at once, since its node is unreachable.
     pub fn suspect(&mut self, server: ServerIndex, now_us: u64) {
         if let Some(view) = self.servers.get_mut(server) {
             if view.ejected_until_us > now_us {
@@ -260,20 +260,20 @@
         }
     }
 
-    /// Returns whether a server is left out for its failures or because its node was not reached.
+    /// Returns whether a server is ejected, for its failures or because its node was unreachable.
     pub fn is_ejected(&self, server: ServerIndex, now_us: u64) -> bool {
         self.servers.get(server).is_some_and(|view| view.ejected_until_us > now_us)
     }
 
-    /// Returns how many attempts of this entry are out at a server.
+    /// Returns the number of attempts of this entry in flight at a server.
     pub fn outstanding(&self, server: ServerIndex) -> u32 {
         self.servers.get(server).map_or(0, |view| view.outstanding)
     }
 
     /// Returns the servers that may get new work at `now_us`.
     ///
-    /// At least half of those present and not leaving stay in rotation whatever their health:
-    /// when most look bad, it is the view that is bad.
+    /// At least half of the servers that are present and not leaving stay in rotation regardless of their health: if
+    /// most of them look unhealthy, the fault is in the view.
     pub fn rotation(&self, now_us: u64) -> ServerSet {
         let mut all = ServerSet::default();
         let mut sound = ServerSet::default();
@@ -294,15 +294,15 @@
         self.servers.get(server).is_some_and(|view| view.present)
     }
 
-    /// Notes that a server is being probed.
+    /// Records that a server is being probed.
     pub fn probed(&mut self, server: ServerIndex, now_us: u64) {
         if let Some(view) = self.servers.get_mut(server) {
             view.probed_us = now_us;
         }
     }
 
-    /// Returns the server whose last report or probe is the oldest, with its age in
-    /// microseconds, if that is over `stale_us` and the service was lately used.
+    /// Returns the server with the oldest report or probe, and the age in microseconds, if the age is over `stale_us`
+    /// and the service was used recently.
     pub fn stalest(&self, now_us: u64, stale_us: u64) -> Option<(u64, ServerIndex)> {
         let lately = self.used_us.is_some_and(|used_us| now_us < used_us + USED_STALES * stale_us);
         if !lately {
@@ -317,19 +317,18 @@
         Some(oldest).filter(|(age_us, _)| *age_us > stale_us)
     }
 
-    /// Returns when the last report of a server's load came, in microseconds.
+    /// Returns when the last load report of a server was received.
     pub fn seen_us(&self, server: ServerIndex) -> Option<u64> {
         self.servers.get(server)?.seen.map(|seen| seen.seen_us)
     }
 
-    /// Returns the smoothed service time of a server as last reported, in microseconds.
+    /// Returns the smoothed service time of a server as last reported.
     pub fn service_us(&self, server: ServerIndex) -> u32 {
         self.servers.get(server).and_then(|view| view.seen).map_or(FIRST_SERVICE_US, |seen| seen.load.service_us)
     }
 
-    /// Returns whether a server outside `tried` looks as if it could start a call at once; one of
-    /// which little is known does.
-    /// A report counts for `fresh_us`.
+    /// Returns whether a server outside `tried` appears able to start a call at once. A server without a report from
+    /// the last `fresh_us` counts as able.
     pub fn has_room(&self, tried: ServerSet, fresh_us: u64, now_us: u64) -> bool {
         let rotation = self.rotation(now_us);
         let open = |server: &ServerIndex| rotation.contains(*server) && !tried.contains(*server);
@@ -346,7 +345,7 @@
         !stalled && u32::from(in_flight) + u32::from(queued) + since < u32::from(limit)
     }
 
-    /// Picks a server outside `excluded`, if there is one in rotation.
+    /// Picks a server in rotation outside `excluded`, if there is one.
     pub fn pick(&mut self, excluded: ServerSet, now_us: u64, rng: &mut fastrand::Rng) -> Option<ServerIndex> {
         self.used_us = Some(now_us);
         let (open, count) = self.open(excluded, now_us);
@@ -363,8 +362,7 @@
         })
     }
 
-    /// Returns the servers in rotation outside `excluded`, and how many they are; nothing is
-    /// allocated for them.
+    /// Returns the servers in rotation outside `excluded`, and their number. Nothing is allocated.
     fn open(&self, excluded: ServerSet, now_us: u64) -> ([ServerIndex; MAX_SERVERS], usize) {
         let rotation = self.rotation(now_us);
         let mut open = [0; MAX_SERVERS];
@@ -378,7 +376,7 @@
         (open, count)
     }
 
-    /// Returns the expected time of a call sent now, in microseconds.
+    /// Returns the expected time of a call sent now.
     pub fn expected_us(&self, server: ServerIndex, now_us: u64) -> f64 {
         let view = &self.servers[server];
         let (load, age_us) = match view.seen {
@@ -428,12 +426,12 @@
     }
 }
 
-/// Returns how long a call waits for a slot where so many calls are busy, in microseconds.
+/// Returns the expected wait for a slot of a server with `busy` calls.
 fn wait_us(busy: f64, limit: f64, service_us: f64) -> f64 {
     (busy + 1.0 - limit).max(0.0) * service_us / limit
 }
 
-/// Picks evenly among the places for which `fits` holds; at least one must.
+/// Picks uniformly among the positions for which `fits` holds; at least one must.
 fn pick_where(open: &[ServerIndex], rng: &mut fastrand::Rng, fits: impl Fn(usize) -> bool) -> ServerIndex {
     let count = (0..open.len()).filter(|&at| fits(at)).count();
     let chosen = rng.usize(..count.max(1));
--- a/valetrack/src/placement/view/worth.rs
+++ b/valetrack/src/placement/view/worth.rs
@@ -1,4 +1,4 @@
-//! What a call is worth at each server, and the pick for calls that have an objective.
+//! Utility of a call at each server, and server selection for calls with an objective.
 
 use super::{FIRST_LIMIT, MAX_SERVERS, STALL_PENALTY_US, ServerView, ServiceView, pick_where, wait_us};
 use crate::gate::{LoadReport, Pace, fading};
@@ -7,20 +7,20 @@
 use crate::placement::set::ServerSet;
 use crate::placement::way::way_cost;
 
-/// Values that differ by less count as equal.
+/// Utilities that differ by less count as equal.
 const TIE_VALUE: f64 = 0.01;
-/// A server that fails every run counts as late by this many times what is left.
+/// Delay assumed for a server that fails every run, as a multiple of the time left.
 const FAILING_WEIGHT: f64 = 2.0;
-/// A cold server that may start nothing more is taken to start the next call this long after it said so,
-/// in microseconds: a quarter of the second over which what it bears is counted.
+/// A cold server without starts left is assumed to start the next call this long after its report: a quarter of the
+/// second over which its starts are counted.
 const NO_START_US: u64 = 250_000;
 
 impl ServiceView {
-    /// Picks a server for a call that is worth the most before its objective: the cheapest to
-    /// reach of those that are likely to answer in time, and the fastest where none is.
+    /// Picks the server with the highest utility for a call: of the servers that are likely to answer within the
+    /// objective the least expensive to reach, and the fastest one if there is none.
     ///
-    /// An answer is worth the same at any moment before the objective, so a faster server in
-    /// another failure domain is no gain where one of the own is fast enough.
+    /// An answer has the same utility at any time before the objective, so a faster server in another failure domain is
+    /// no gain if a server of the own domain answers within the objective.
     pub fn pick_in_time(
         &mut self,
         excluded: ServerSet,
@@ -47,8 +47,8 @@
         Some(pick_where(open, rng, |at| values[at] >= best - TIE_VALUE))
     }
 
-    /// Returns what a call with this demand is worth at a server, as a share of an answer in time:
-    /// the chance that it is in time, less what the way there costs.
+    /// Returns the utility of a call at a server, as a share of the utility of a timely answer: the chance of an answer
+    /// within the objective, less the network cost.
     fn value(&self, server: ServerIndex, demand: Demand, usual: &LoadReport, now_us: u64) -> f64 {
         let view = &self.servers[server];
         let (load, age_us) = match view.seen {
@@ -62,8 +62,8 @@
         in_time - way_cost(view.far, view.seen.is_some())
     }
 
-    /// Returns the time that a call sent now should lose at a server besides its run, in microseconds,
-    /// by a report that is `age_us` old and whose queue still counts by `weight`.
+    /// Returns the time that a call sent now is expected to lose at a server besides its run, by a report that is
+    /// `age_us` old and whose queue still counts by `weight`.
     fn before_run_us(&self, view: &ServerView, load: &LoadReport, demand: Demand, age_us: u64, weight: f64) -> f64 {
         let limit = f64::from(load.limit.max(1));
         let busy = f64::from(view.outstanding) + view.seen_others(load) * weight;
@@ -71,13 +71,13 @@
         let failing = view.failure_share.max(f64::from(load.failing_percent) / 100.0) * fading(age_us);
         let failure_us = failing * FAILING_WEIGHT * demand.left_us as f64;
         let stall_us = if load.stalled { STALL_PENALTY_US * weight } else { 0.0 };
-        // A cold server that has got what it bears looks idle, and would draw all calls.
+        // A cold server that has used up its starts looks idle, and would attract all calls.
         let cold_us = if load.limit == 0 { NO_START_US.saturating_sub(age_us) as f64 } else { 0.0 };
         f64::from(view.network_us) + wait_us + failure_us + stall_us + cold_us
     }
 
-    /// Returns what a call is worth at the best server outside `excluded`, as a share of an answer
-    /// in time; the way to `server`, at which it is, counts for that as saved.
+    /// Returns the utility of a call at the best server outside `excluded`. The network cost of `server`, at which the
+    /// call is now, counts as saved.
     pub fn worth_elsewhere(
         &self,
         server: ServerIndex,
@@ -92,11 +92,10 @@
         Some(best + way_cost(self.servers[server].far, true))
     }
 
-    /// Returns the report that is assumed for servers that were not heard of: the average speed of
-    /// those that were.
+    /// Returns the report assumed for servers without one: the average speed of the servers that have reported.
     fn usual(&self) -> LoadReport {
         if self.servers.iter().all(|view| view.seen.is_some() || !view.present) {
-            // Nobody will be taken for a usual server.
+            // All servers have reported, so the assumed report is not used.
             return LoadReport::default();
         }
         let known = || self.servers.iter().filter(|view| view.present).filter_map(|view| view.seen);
@@ -117,7 +116,7 @@
         }
     }
 
-    /// Returns whether a server was lately told to be in a slow episode.
+    /// Returns whether a server is probably in a slow episode by its last report.
     pub fn is_slow(&self, server: ServerIndex, now_us: u64) -> bool {
         let seen = self.servers.get(server).and_then(|view| view.seen);
         seen.is_some_and(|seen| Pace::of(&seen.load, now_us.saturating_sub(seen.seen_us)).is_slow())
--- a/valetrack/src/placement/way.rs
+++ b/valetrack/src/placement/way.rs
@@ -1,18 +1,18 @@
-//! What the way to a server costs.
+//! Network cost of sending an attempt to a server.
 
-/// What leaving the failure domain costs, as a share of an answer in time. Its bytes are paid for;
-/// a platform does not say how dearly, so this is what two kilobytes cost at a middling price.
+/// Cost of leaving the failure domain, as a share of the utility of a timely answer. Traffic between domains is charged
+/// at a price that platforms do not state, so this is the cost of two kilobytes at a medium price.
 const FAR_COST: f64 = 0.3;
 
-/// What opening a link that leaves the failure domain costs beside that: its handshake is twice the
-/// bytes of a call, and later calls go over it.
+/// Additional cost of opening a link to another failure domain. Its handshake takes twice the bytes of a call, and
+/// later calls reuse the link.
 ///
-/// In a fleet of 195 VMs in virtual time, in a burst, 2,233 such links were opened without it and 1,438
-/// with it, 22.2 and 18.5 MB left their domains, and callers got the same (three seeds).
+/// Without this cost, a burst in a fleet of 195 VMs opened 2,233 such links instead of 1,438 and sent 22.2 MB out of
+/// their domains instead of 18.5 MB, with the same results for callers.
 const OPEN_COST: f64 = 0.3;
 
-/// Returns what the way to a server costs, as a share of an answer in time; `known` tells whether the
-/// server was heard of, so that a link is likely to be open.
+/// Returns the network cost of a server, as a share of the utility of a timely answer. A server that has reported its
+/// load probably has an open link.
 pub(super) fn way_cost(far: bool, known: bool) -> f64 {
     match (far, known) {
         (false, _) => 0.0,
--- a/valetrack/src/rendezvous.rs
+++ b/valetrack/src/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Rendezvous hashing: each name draws among nodes by weights that all nodes compute alike.
+//! Rendezvous hashing: every node computes the same weights, which rank the nodes for a name.
 
 use std::hash::Hasher;
 
 use siphasher::sip::SipHasher13;
 
-/// Returns the weight of a node for whoever draws among nodes by `name`.
+/// Returns the weight of the node on `vm` for `name`.
 pub fn weight(name: &str, vm: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
