--- a/valetrack/src/placement/attempt.rs
+++ b/valetrack/src/placement/attempt.rs
@@ -8,7 +8,7 @@
 use futures::future::LocalBoxFuture;
 
 use super::message::{CallEvent, Dispatch, Outcome, ServerIndex};
-use super::run::{PROMPT_MS, Placer};
+use super::run::{Placer, REPLY_LIMIT_MS};
 use crate::clock::Moment;
 use crate::code::Code;
 use crate::gate::{AttemptId, BounceReason};
@@ -18,7 +18,7 @@
 use crate::timeline::{OrNone, log as events};
 
 /// Time after the deadline of an attempt for which its reply is still awaited.
-const SLACK_MS: u64 = 50;
+const REPLY_SLACK_MS: u64 = 50;
 
 /// Result of a pending operation of a call, with the answer if there is one.
 pub(super) type AttemptEnd = (CallEvent, Option<(AnswerHead, Bytes)>);
@@ -34,7 +34,7 @@
     ) -> LocalBoxFuture<'static, AttemptEnd> {
         let Dispatch { attempt, server, patience, elsewhere_permille, cause, repeat_permille } = dispatch;
         // A keyed call whose run is lost with its owner never runs again, so the owner is probed first.
-        let looks_first = head.key.is_some();
+        let probes_first = head.key.is_some();
         let head = head.clone();
         let body = body.clone();
         Box::pin(async move {
@@ -42,13 +42,13 @@
             let Some(target) = self.target(&service, server) else {
                 return (CallEvent::Unsent { attempt }, None);
             };
-            if looks_first && !self.is_own(&target) && !self.probe_one(&service, server).await {
+            if probes_first && !self.is_own(&target) && !self.probe_one(&service, server).await {
                 log::info!("event=call.owner_silent call={} attempt={attempt} owner={}", head.call_id, target.vm);
                 return (CallEvent::Unsent { attempt }, None);
             }
             let left_ms = deadline.left().as_millis() as u32;
-            let gone_ms = head.deadline_ms.saturating_sub(left_ms);
-            let objective_ms = head.objective_ms.saturating_sub(gone_ms).max(head.objective_ms.min(1));
+            let elapsed_ms = head.deadline_ms.saturating_sub(left_ms);
+            let objective_ms = head.objective_ms.saturating_sub(elapsed_ms).max(head.objective_ms.min(1));
             let mut head = CallHead {
                 attempt,
                 patience,
@@ -75,14 +75,14 @@
             // The stamp is drawn after the log line above, so that events of the owner are ordered after it.
             head.hlc = events::stamp();
             let question = Question { ask: Ask::Run(head), body };
-            let limit = Duration::from_millis(u64::from(left_ms) + SLACK_MS);
+            let limit = Duration::from_millis(u64::from(left_ms) + REPLY_SLACK_MS);
             let result = self.ask(target, question, limit).await;
-            self.learn(&service, server, &result);
+            self.apply_piggyback(&service, server, &result);
             let event = attempt_event(attempt, result, &self.metrics);
             match &event {
-                (CallEvent::Ran { .. }, Some((answer, _))) => self.learn_nested(&route, answer.nested),
+                (CallEvent::Ran { .. }, Some((answer, _))) => self.record_nested_route(&route, answer.nested),
                 (CallEvent::Bounced { reason: BounceReason::Evacuated, .. }, _) => {
-                    self.learn_evacuation(&service, server);
+                    self.report_evacuation(&service, server);
                 }
                 _ => {}
             }
@@ -105,14 +105,18 @@
                 return (CallEvent::CancelResult { attempt, result: None }, None);
             };
             let question = Question { ask: Ask::Cancel(attempt), body: Bytes::new() };
-            let limit = Duration::from_millis(PROMPT_MS);
+            let limit = Duration::from_millis(REPLY_LIMIT_MS);
             let result = peer::ask_within(&self.to_link, target, question, limit).await;
             (CallEvent::CancelResult { attempt, result: result.cancel_result(sent_at.elapsed()) }, None)
         })
     }
 
     /// Probes the owner of a call that takes long, so that the decision on a hedge uses the owner's current state.
-    pub(super) fn look(self: Rc<Self>, service: Arc<str>, server: ServerIndex) -> LocalBoxFuture<'static, AttemptEnd> {
+    pub(super) fn probe_before_hedge(
+        self: Rc<Self>,
+        service: Arc<str>,
+        server: ServerIndex,
+    ) -> LocalBoxFuture<'static, AttemptEnd> {
         Box::pin(async move {
             self.metrics.probes.inc();
             if !self.probe_one(&service, server).await {
@@ -144,7 +148,7 @@
                 (CallEvent::Failed { attempt, code }, None)
             }
         },
-        Reply::Bounce { attempt: bounced, reason } if bounced == attempt => {
+        Reply::Bounce { attempt: declined, reason } if declined == attempt => {
             (CallEvent::Bounced { attempt, reason }, None)
         }
         _ => {
--- a/valetrack/src/placement/call.rs
+++ b/valetrack/src/placement/call.rs
@@ -18,10 +18,10 @@
 const MAX_ATTEMPTS: usize = 12;
 /// How often owners may decline a call because its utility is higher elsewhere: if machines are slow a third of the
 /// time, four slow ones in a row are rare.
-const SLOW_BOUNCES: u8 = 4;
+const SLOW_DECLINES_MAX: u8 = 4;
 /// How often owners in other failure domains may decline a call for lack of room: its traffic is charged each time, and
 /// if the own domain is full, others often are too.
-const FAR_BOUNCES: u8 = 1;
+const CROSS_DOMAIN_DECLINES_MAX: u8 = 1;
 /// Run time assumed for a second run, as a share of the usual time.
 const HEDGE_RUN_PERCENT: u64 = 130;
 /// Shortest retry delay of a caller.
@@ -30,7 +30,7 @@
 const RETRY_AFTER_MAX_MS: u32 = 1_000;
 /// Divisor of the time that a call's objective leaves beyond a run. The quotient is the longest retry delay of its
 /// caller.
-const RETURN_SHARE: u64 = 2;
+const RETRY_AFTER_DIVISOR: u64 = 2;
 
 /// Placement rule for the calls of one route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,8 +65,8 @@
     }
 
     /// Creates an entry's part of a fleet's guarantee at the start of the entry. All repeats are charged to it.
-    pub fn of_fleet(promise: RepeatPromise, now_us: u64) -> Self {
-        Self { retry: RepeatBudget::of_fleet(promise, now_us), hedge: None, refused: RepeatsRefused::default() }
+    pub fn of_fleet(guarantee: RepeatPromise, now_us: u64) -> Self {
+        Self { retry: RepeatBudget::of_fleet(guarantee, now_us), hedge: None, refused: RepeatsRefused::default() }
     }
 
     /// Records a call with the chance that it is itself a repeat.
@@ -79,7 +79,7 @@
     }
 
     /// Takes a repeat from the budget if there is one left, and counts it as refused otherwise.
-    fn repeat(&mut self, cause: SendCause, now_us: u64) -> bool {
+    fn take_repeat(&mut self, cause: SendCause, now_us: u64) -> bool {
         let granted = self.retry.take(now_us);
         if !granted {
             self.refused.count(cause);
@@ -90,11 +90,11 @@
 
 /// Numbers of repeats that were refused for lack of budget, by cause.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RepeatsRefused([u64; SendCause::PAID.len()]);
+pub struct RepeatsRefused([u64; SendCause::CHARGED.len()]);
 
 impl RepeatsRefused {
     fn count(&mut self, cause: SendCause) {
-        if let Some(at) = SendCause::PAID.iter().position(|paid| *paid == cause) {
+        if let Some(at) = SendCause::CHARGED.iter().position(|charged| *charged == cause) {
             self.0[at] += 1;
         }
     }
@@ -102,7 +102,7 @@
     /// Returns the numbers by cause, and resets them to zero.
     pub fn drain(&mut self) -> impl Iterator<Item = (SendCause, u64)> + use<> {
         let counts = std::mem::take(&mut self.0);
-        SendCause::PAID.into_iter().zip(counts).filter(|(_, count)| *count > 0)
+        SendCause::CHARGED.into_iter().zip(counts).filter(|(_, count)| *count > 0)
     }
 }
 
@@ -124,7 +124,7 @@
 enum AttemptState {
     Sent,
     /// The link broke or the deadline passed, and the owner was sent a cancel.
-    Asked,
+    CancelSent,
     /// The owner declined it, or confirmed that it never starts.
     NeverStarted,
     /// It may have run, and no answer will arrive.
@@ -148,18 +148,18 @@
     count: usize,
     excluded: ServerSet,
     /// Servers excluded from ordinary calls while their service is rolled out.
-    barred: ServerSet,
+    rollout_excluded: ServerSet,
     /// Whether a run made the call.
     made_by_run: bool,
-    bounces_left: u8,
-    slow_bounces_left: u8,
-    far_bounces_left: u8,
+    declines_left: u8,
+    slow_declines_left: u8,
+    cross_domain_declines_left: u8,
     retries_left: u8,
     hedged: bool,
     /// When the call arrived.
     began_us: u64,
     /// Whether an owner declined the call because of a stall, after it had waited in the queue.
-    waited: bool,
+    declined_by_stall: bool,
     /// Whether an attempt was sent with the queue timeout of the last resort.
     last_resort: bool,
     past_deadline: bool,
@@ -167,7 +167,7 @@
     /// Chance that a repeated run made the call.
     repeat_permille: u16,
     /// Whether a repeat was charged, so that later attempts may arrive after the first one.
-    repeated: bool,
+    repeat_charged: bool,
     /// The last attempt whose answer reports a failure of the upstream itself.
     failing_answer: Option<AttemptId>,
     /// Cause of the last loss of an attempt that may have run.
@@ -184,19 +184,19 @@
             attempts: [None; MAX_ATTEMPTS],
             count: 0,
             excluded: ServerSet::default(),
-            barred: ServerSet::default(),
-            bounces_left: rule.bounces,
-            slow_bounces_left: SLOW_BOUNCES,
-            far_bounces_left: FAR_BOUNCES,
+            rollout_excluded: ServerSet::default(),
+            declines_left: rule.bounces,
+            slow_declines_left: SLOW_DECLINES_MAX,
+            cross_domain_declines_left: CROSS_DOMAIN_DECLINES_MAX,
             retries_left: rule.retries,
             hedged: false,
             began_us: 0,
-            waited: false,
+            declined_by_stall: false,
             last_resort: false,
             past_deadline: false,
             last_code: Code::NoServer,
             repeat_permille: 0,
-            repeated: false,
+            repeat_charged: false,
             made_by_run: false,
             failing_answer: None,
             lost_code: None,
@@ -223,7 +223,7 @@
     }
 
     /// Returns the server of the attempt in flight, if there is exactly one.
-    pub fn waits_for(&self) -> Option<ServerIndex> {
+    pub fn server_in_flight(&self) -> Option<ServerIndex> {
         let mut sent = self.attempts.iter().flatten().filter(|attempt| attempt.state == AttemptState::Sent);
         let server = sent.next()?.server;
         sent.next().is_none().then_some(server)
@@ -243,7 +243,7 @@
     pub fn abandon(&mut self, cx: &mut CallContext<'_>) {
         self.finished = true;
         for at in 0..self.count {
-            let open = matches!(self.state(at), AttemptState::Sent | AttemptState::Asked);
+            let open = matches!(self.state(at), AttemptState::Sent | AttemptState::CancelSent);
             if let (true, Some(attempt)) = (open, self.attempts[at]) {
                 self.close(attempt.id, AttemptState::Lost, cx);
             }
@@ -255,7 +255,7 @@
         match event {
             CallEvent::Begin => self.begin(cx, out),
             CallEvent::Ran { attempt, healthy } => self.ran(attempt, healthy, cx, out),
-            CallEvent::Bounced { attempt, reason } => self.bounced(attempt, reason, cx, out),
+            CallEvent::Bounced { attempt, reason } => self.declined(attempt, reason, cx, out),
             CallEvent::Failed { attempt, code } => self.failed(attempt, code, cx, out),
             CallEvent::Unsent { attempt } => self.unsent(attempt, cx, out),
             CallEvent::Broken { attempt } => self.broken(attempt, cx, out),
@@ -272,7 +272,7 @@
         self.began_us = cx.now_us;
         cx.budgets.begin(self.repeat_permille, cx.now_us);
         if !self.made_by_run {
-            self.bounces_left = cx.view.bounces(self.rule.bounces, cx.now_us);
+            self.declines_left = cx.view.allowed_declines(self.rule.bounces, cx.now_us);
         }
         let Some(server) = self.send_first(cx, out) else {
             self.settle(cx, out);
@@ -316,7 +316,7 @@
         }
         self.past_deadline = true;
         self.last_code = Code::DeadlinePassed;
-        self.ask_all(out);
+        self.cancel_all(out);
         self.settle(cx, out);
     }
 
@@ -348,27 +348,27 @@
     }
 
     /// Sends a cancel to the owners of all attempts in flight.
-    fn ask_all(&mut self, out: &mut Vec<CallAction>) {
+    fn cancel_all(&mut self, out: &mut Vec<CallAction>) {
         for at in 0..self.count {
             if self.state(at) == AttemptState::Sent {
-                self.ask(at, out);
+                self.send_cancel(at, out);
             }
         }
     }
 
     /// Asks the owner of an attempt whether it may have started, and to drop it if not.
-    fn ask(&mut self, at: usize, out: &mut Vec<CallAction>) {
+    fn send_cancel(&mut self, at: usize, out: &mut Vec<CallAction>) {
         let Some(attempt) = self.attempts[at].as_mut() else {
             return;
         };
-        attempt.state = AttemptState::Asked;
+        attempt.state = AttemptState::CancelSent;
         out.push(CallAction::Cancel { attempt: attempt.id, server: attempt.server });
     }
 
     fn finish(&mut self, verdict: Verdict, out: &mut Vec<CallAction>) {
         self.finished = true;
         // Runs in progress are of no use any more, and an owner that still has the attempt in its queue can drop it.
-        self.ask_all(out);
+        self.cancel_all(out);
         out.push(CallAction::Finish(verdict));
     }
 
@@ -376,11 +376,11 @@
     fn close(&mut self, id: AttemptId, state: AttemptState, cx: &mut CallContext<'_>) -> Option<usize> {
         let at = self.find(id)?;
         let attempt = self.attempts[at].as_mut()?;
-        if !matches!(attempt.state, AttemptState::Sent | AttemptState::Asked) {
+        if !matches!(attempt.state, AttemptState::Sent | AttemptState::CancelSent) {
             return None;
         }
         attempt.state = state;
-        cx.view.returned(attempt.server);
+        cx.view.count_end(attempt.server);
         Some(at)
     }
 
@@ -401,7 +401,7 @@
     }
 
     fn outstanding(&self) -> usize {
-        let open = |attempt: &&Attempt| matches!(attempt.state, AttemptState::Sent | AttemptState::Asked);
+        let open = |attempt: &&Attempt| matches!(attempt.state, AttemptState::Sent | AttemptState::CancelSent);
         self.attempts.iter().flatten().filter(open).count()
     }
 }
@@ -415,7 +415,7 @@
 fn retry_after_ms(demand: Option<Demand>, rng: &mut fastrand::Rng) -> u32 {
     let longest_ms = demand.map_or(RETRY_AFTER_MAX_MS, |demand| {
         let spare_us = demand.left_us.saturating_sub(demand.work_us.into());
-        (spare_us / RETURN_SHARE / 1000).min(RETRY_AFTER_MAX_MS.into()) as u32
+        (spare_us / RETRY_AFTER_DIVISOR / 1000).min(RETRY_AFTER_MAX_MS.into()) as u32
     });
     rng.u32(RETRY_AFTER_MIN_MS..=longest_ms.max(2 * RETRY_AFTER_MIN_MS))
 }
--- a/valetrack/src/placement/call/choice.rs
+++ b/valetrack/src/placement/call/choice.rs
@@ -4,21 +4,21 @@
 use crate::gate::{AttemptId, PERMILLE, Patience};
 use crate::placement::message::{CallAction, Demand, Dispatch, SendCause, ServerIndex};
 use crate::placement::set::ServerSet;
-use crate::placement::view::ROOM_US;
+use crate::placement::view::FULL_REPORT_VALID_US;
 use crate::rollout::ServerPart;
 
 impl Call {
     /// Sends the first attempt, to a server on trial if the call belongs to the trial's traffic share. Later attempts
     /// go to the other servers: a call is sent to a new version at most once.
     pub(super) fn send_first(&mut self, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) -> Option<ServerIndex> {
-        self.barred = cx.view.outside(ServerPart::Usual);
-        let on_trial = cx.view.takes_trial().then(|| cx.view.outside(ServerPart::Trial));
+        self.rollout_excluded = cx.view.servers_without(ServerPart::Usual);
+        let on_trial = cx.view.next_is_trial().then(|| cx.view.servers_without(ServerPart::Trial));
         let trial = on_trial.and_then(|others| self.pick(others, cx));
-        self.excluded = self.barred;
+        self.excluded = self.rollout_excluded;
         let Some(server) = trial else {
             return self.send_next(SendCause::First, cx, out);
         };
-        let patience = self.patience_for(server, cx);
+        let patience = self.queue_timeout_for(server, cx);
         self.send(server, patience, SendCause::First, cx, out);
         Some(server)
     }
@@ -31,7 +31,7 @@
         out: &mut Vec<CallAction>,
     ) -> Option<ServerIndex> {
         let server = self.next_server(cx)?;
-        let patience = self.patience_for(server, cx);
+        let patience = self.queue_timeout_for(server, cx);
         self.send(server, patience, cause, cx, out);
         Some(server)
     }
@@ -42,7 +42,7 @@
         if self.last_resort || self.count >= MAX_ATTEMPTS {
             return false;
         }
-        let Some(server) = self.pick(self.barred, cx) else {
+        let Some(server) = self.pick(self.rollout_excluded, cx) else {
             return false;
         };
         self.send(server, Patience::Last, cause, cx, out);
@@ -51,15 +51,16 @@
 
     /// Returns the queue timeout of an attempt at a server: short only if another server appears to have room and the
     /// allowance of declines lets the call go there.
-    fn patience_for(&self, server: ServerIndex, cx: &CallContext<'_>) -> Patience {
+    fn queue_timeout_for(&self, server: ServerIndex, cx: &CallContext<'_>) -> Patience {
         let mut tried = self.excluded;
         tried.insert(server);
         // A queue changes about as fast as the calls in it run.
-        let fresh_us = self.rule.demand.map_or(ROOM_US, |demand| u64::from(demand.work_us).max(ROOM_US));
-        let elsewhere = self.bounces_left > 0 && cx.view.has_room(tried, fresh_us, cx.now_us);
+        let fresh_us =
+            self.rule.demand.map_or(FULL_REPORT_VALID_US, |demand| u64::from(demand.work_us).max(FULL_REPORT_VALID_US));
+        let another_has_room = self.declines_left > 0 && cx.view.has_room(tried, fresh_us, cx.now_us);
         match () {
-            () if elsewhere => Patience::Short,
-            () if self.waited => Patience::Last,
+            () if another_has_room => Patience::Short,
+            () if self.declined_by_stall => Patience::Last,
             () => Patience::Long,
         }
     }
@@ -67,8 +68,8 @@
     /// Picks a server outside `excluded`, and outside other failure domains once they have declined the call often
     /// enough and a server of the own domain is open.
     pub(super) fn pick(&self, excluded: ServerSet, cx: &mut CallContext<'_>) -> Option<ServerIndex> {
-        let excluded = match self.far_bounces_left {
-            0 => excluded.union(cx.view.far_where_near_is_open(excluded, cx.now_us)),
+        let excluded = match self.cross_domain_declines_left {
+            0 => excluded.union(cx.view.cross_domain_if_own_open(excluded, cx.now_us)),
             _ => excluded,
         };
         match self.demand_left(cx) {
@@ -80,19 +81,20 @@
     /// Returns the remaining requirements of the call, if it has an objective.
     fn demand_left(&self, cx: &CallContext<'_>) -> Option<Demand> {
         let demand = self.rule.demand?;
-        let gone_us = cx.now_us.saturating_sub(self.began_us);
-        Some(Demand { left_us: demand.left_us.saturating_sub(gone_us), ..demand })
+        let elapsed_us = cx.now_us.saturating_sub(self.began_us);
+        Some(Demand { left_us: demand.left_us.saturating_sub(elapsed_us), ..demand })
     }
 
     /// Returns the utility of the call at the best server that was not tried; zero if the call is to stay at `server`.
     fn elsewhere_permille(&self, server: ServerIndex, patience: Patience, cx: &CallContext<'_>) -> u16 {
-        if patience != Patience::Short || self.slow_bounces_left == 0 {
+        if patience != Patience::Short || self.slow_declines_left == 0 {
             return 0;
         }
         let mut tried = self.excluded;
         tried.insert(server);
-        let worth = self.demand_left(cx).and_then(|demand| cx.view.worth_elsewhere(server, tried, demand, cx.now_us));
-        worth.map_or(0, |worth| (worth * PERMILLE) as u16)
+        let utility =
+            self.demand_left(cx).and_then(|demand| cx.view.utility_elsewhere(server, tried, demand, cx.now_us));
+        utility.map_or(0, |utility| (utility * PERMILLE) as u16)
     }
 
     /// Picks a server that was not tried, if the call may make another attempt.
@@ -131,12 +133,12 @@
         let id = AttemptId { entry: self.entry, seq: *cx.next_seq };
         *cx.next_seq += 1;
         let elsewhere_permille = self.elsewhere_permille(server, patience, cx);
-        cx.view.sent(server);
+        cx.view.count_sent(server);
         self.last_resort |= patience == Patience::Last;
-        self.repeated |= cause.is_paid();
+        self.repeat_charged |= cause.is_charged();
         self.attempts[self.count] = Some(Attempt { id, server, patience, state: AttemptState::Sent });
         self.count += 1;
-        let repeat_permille = if self.repeated { PERMILLE as u16 } else { self.repeat_permille };
+        let repeat_permille = if self.repeat_charged { PERMILLE as u16 } else { self.repeat_permille };
         out.push(CallAction::Send(Dispatch {
             attempt: id,
             server,
--- a/valetrack/src/placement/call/end.rs
+++ b/valetrack/src/placement/call/end.rs
@@ -12,8 +12,8 @@
             return;
         };
         let server = self.server(at);
-        cx.view.judge(server, healthy, cx.now_us);
-        cx.view.found_full(false, cx.now_us);
+        cx.view.record_health(server, healthy, cx.now_us);
+        cx.view.record_full(false, cx.now_us);
         if self.finished {
             return;
         }
@@ -28,7 +28,7 @@
     }
 
     /// Handles an attempt that its owner declined.
-    pub(super) fn bounced(
+    pub(super) fn declined(
         &mut self,
         id: AttemptId,
         reason: BounceReason,
@@ -39,9 +39,9 @@
             return;
         };
         let server = self.server(at);
-        self.last_code = bounce_code(reason);
-        note_bounce(server, reason, cx);
-        cx.view.found_full(reason == BounceReason::Full, cx.now_us);
+        self.last_code = decline_code(reason);
+        record_decline(server, reason, cx);
+        cx.view.record_full(reason == BounceReason::Full, cx.now_us);
         if self.finished {
             return;
         }
@@ -68,11 +68,11 @@
             self.settle(cx, out);
             return;
         }
-        self.spend_allowances(server, reason, cx);
+        self.charge_allowances(server, reason, cx);
         // A call that was admitted and has waited must not be declined for a full queue later.
-        self.waited |= reason == BounceReason::Stalled;
+        self.declined_by_stall |= reason == BounceReason::Stalled;
         // None of these reasons is a sign of load elsewhere, so they are not charged to the allowance.
-        let free = matches!(
+        let is_uncharged = matches!(
             reason,
             BounceReason::Leaving
                 | BounceReason::Evacuated
@@ -80,7 +80,7 @@
                 | BounceReason::NotReady
                 | BounceReason::Slow
         );
-        self.move_on(server, free, SendCause::Unreached, cx, out);
+        self.try_next_server(server, is_uncharged, SendCause::Unreached, cx, out);
     }
 
     /// Decides after an upstream has rejected an attempt.
@@ -89,20 +89,20 @@
     /// and a service that rejects everywhere is overloaded. Without the charge, 1,249 repeats of 1,200 calls arrived in
     /// ten seconds where 298 are allowed, with half of all arrivals rejected.
     fn after_rejection(&mut self, server: ServerIndex, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
-        if !cx.budgets.repeat(SendCause::Rejected, cx.now_us) {
+        if !cx.budgets.take_repeat(SendCause::Rejected, cx.now_us) {
             self.settle(cx, out);
             return;
         }
-        self.move_on(server, false, SendCause::Rejected, cx, out);
+        self.try_next_server(server, false, SendCause::Rejected, cx, out);
     }
 
     /// Charges a decline to the allowances that apply only to some reasons.
-    fn spend_allowances(&mut self, server: ServerIndex, reason: BounceReason, cx: &CallContext<'_>) {
-        if reason == BounceReason::Full && cx.view.is_far(server) {
-            self.far_bounces_left = self.far_bounces_left.saturating_sub(1);
+    fn charge_allowances(&mut self, server: ServerIndex, reason: BounceReason, cx: &CallContext<'_>) {
+        if reason == BounceReason::Full && cx.view.is_cross_domain(server) {
+            self.cross_domain_declines_left = self.cross_domain_declines_left.saturating_sub(1);
         }
         if reason == BounceReason::Slow {
-            self.slow_bounces_left = self.slow_bounces_left.saturating_sub(1);
+            self.slow_declines_left = self.slow_declines_left.saturating_sub(1);
         }
     }
 
@@ -111,7 +111,7 @@
         let Some(at) = self.close(id, AttemptState::Lost, cx) else {
             return;
         };
-        cx.view.judge(self.server(at), false, cx.now_us);
+        cx.view.record_health(self.server(at), false, cx.now_us);
         self.last_code = code;
         self.lost_code = Some(code);
         self.after_loss(self.server(at), cx, out);
@@ -132,7 +132,7 @@
             self.settle(cx, out);
             return;
         }
-        self.move_on(server, true, SendCause::Unreached, cx, out);
+        self.try_next_server(server, true, SendCause::Unreached, cx, out);
     }
 
     /// Handles the loss of the link under an attempt by sending its owner a cancel.
@@ -145,7 +145,7 @@
         }
         cx.view.suspect(self.server(at), cx.now_us);
         self.last_code = Code::LinkLost;
-        self.ask(at, out);
+        self.send_cancel(at, out);
     }
 
     /// Handles the owner's reply to a cancel.
@@ -159,7 +159,7 @@
         let Some(at) = self.find(id) else {
             return;
         };
-        if self.state(at) != AttemptState::Asked {
+        if self.state(at) != AttemptState::CancelSent {
             return;
         }
         let state = match result {
@@ -176,24 +176,24 @@
         }
         let server = self.server(at);
         match result {
-            Some(CancelResult::NeverStarted) => self.move_on(server, true, SendCause::Unreached, cx, out),
+            Some(CancelResult::NeverStarted) => self.try_next_server(server, true, SendCause::Unreached, cx, out),
             Some(CancelResult::Rejected) => self.after_rejection(server, cx, out),
             Some(CancelResult::Started) | None => self.after_loss(server, cx, out),
         }
     }
 
     /// Sends another attempt after one that certainly did not start.
-    fn move_on(
+    fn try_next_server(
         &mut self,
         server: ServerIndex,
-        free: bool,
+        is_uncharged: bool,
         cause: SendCause,
         cx: &mut CallContext<'_>,
         out: &mut Vec<CallAction>,
     ) {
         self.excluded.insert(server);
-        if !free {
-            self.bounces_left = self.bounces_left.saturating_sub(1);
+        if !is_uncharged {
+            self.declines_left = self.declines_left.saturating_sub(1);
         }
         if self.send_next(cause, cx, out).is_none() && !self.send_last(cause, cx, out) {
             self.settle(cx, out);
@@ -217,7 +217,7 @@
 
     /// Takes a repeat from the call's own allowance and its service's budget, if both have one left.
     pub(super) fn may_repeat(&mut self, cause: SendCause, cx: &mut CallContext<'_>) -> bool {
-        if !self.rule.repeatable || self.retries_left == 0 || !cx.budgets.repeat(cause, cx.now_us) {
+        if !self.rule.repeatable || self.retries_left == 0 || !cx.budgets.take_repeat(cause, cx.now_us) {
             return false;
         }
         self.retries_left -= 1;
@@ -226,10 +226,10 @@
 }
 
 /// Updates the view of a server by the reason of a decline.
-fn note_bounce(server: ServerIndex, reason: BounceReason, cx: &mut CallContext<'_>) {
+fn record_decline(server: ServerIndex, reason: BounceReason, cx: &mut CallContext<'_>) {
     match reason {
         BounceReason::Leaving => cx.view.set_leaving(server),
-        BounceReason::Refused | BounceReason::Rejected => cx.view.judge(server, false, cx.now_us),
+        BounceReason::Refused | BounceReason::Rejected => cx.view.record_health(server, false, cx.now_us),
         BounceReason::NotReady => cx.view.suspect(server, cx.now_us),
         BounceReason::Full
         | BounceReason::Stalled
@@ -241,7 +241,7 @@
     }
 }
 
-const fn bounce_code(reason: BounceReason) -> Code {
+const fn decline_code(reason: BounceReason) -> Code {
     match reason {
         BounceReason::Full | BounceReason::Stalled | BounceReason::Slow | BounceReason::RepeatRefused => {
             Code::Overloaded
--- a/valetrack/src/placement/crowding.rs
+++ b/valetrack/src/placement/crowding.rs
@@ -15,25 +15,25 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Crowding {
     full_share: f64,
-    seen_us: u64,
+    updated_us: u64,
 }
 
 impl Crowding {
     /// Records whether an attempt found its owner full.
-    pub fn found(&mut self, full: bool, now_us: u64) {
+    pub fn record(&mut self, full: bool, now_us: u64) {
         let share = self.share(now_us);
         self.full_share = share + (f64::from(u8::from(full)) - share) * STEP;
-        self.seen_us = now_us;
+        self.updated_us = now_us;
     }
 
-    /// Returns how many owners, of at most `most`, may decline a call for lack of room.
-    pub fn bounces(&self, most: u8, now_us: u64) -> u8 {
+    /// Returns how many owners, of at most `declines_max`, may decline a call for lack of room.
+    pub fn allowed_declines(&self, declines_max: u8, now_us: u64) -> u8 {
         let room = 1.0 - self.share(now_us);
         // A further attempt only matters if both the next owner and the one after it have room.
-        (f64::from(most) * room * room).round() as u8
+        (f64::from(declines_max) * room * room).round() as u8
     }
 
     fn share(&self, now_us: u64) -> f64 {
-        self.full_share * 0.5_f64.powf(now_us.saturating_sub(self.seen_us) as f64 / HALF_LIFE_US)
+        self.full_share * 0.5_f64.powf(now_us.saturating_sub(self.updated_us) as f64 / HALF_LIFE_US)
     }
 }
--- a/valetrack/src/placement/driver.rs
+++ b/valetrack/src/placement/driver.rs
@@ -30,15 +30,15 @@
     let deadline = Moment::now() + Duration::from_millis(head.deadline_ms.into());
     let driver = CallDriver {
         call: Call::new(rule, placer.entry).made_by_repeat(head.repeat_permille).made_by_run(head.made_by_run),
-        looks_before_hedge: rule.demand.is_some(),
+        probes_before_hedge: rule.demand.is_some(),
         reply: Some(reply),
-        out: FuturesUnordered::new(),
+        pending_operations: FuturesUnordered::new(),
         answers: Vec::new(),
         sent: Vec::new(),
         actions: Vec::new(),
         hedge_at: None,
         deadline,
-        late: false,
+        is_past_deadline: false,
         head,
         body,
         placer,
@@ -50,10 +50,10 @@
 struct CallDriver {
     call: Call,
     /// Whether the owner is probed before a hedge is decided on.
-    looks_before_hedge: bool,
+    probes_before_hedge: bool,
     /// Channel for the result; none once the result is sent.
     reply: Option<oneshot::Sender<Placed>>,
-    out: FuturesUnordered<LocalBoxFuture<'static, AttemptEnd>>,
+    pending_operations: FuturesUnordered<LocalBoxFuture<'static, AttemptEnd>>,
     answers: Vec<(AnswerHead, Bytes)>,
     /// Send time of each attempt.
     sent: Vec<(AttemptId, Moment)>,
@@ -62,7 +62,7 @@
     hedge_at: Option<Moment>,
     deadline: Moment,
     /// Whether the deadline has passed.
-    late: bool,
+    is_past_deadline: bool,
     head: CallHead,
     body: Bytes,
     placer: Rc<Placer>,
@@ -101,11 +101,11 @@
             CallAction::Send(dispatch) => {
                 self.sent.push((dispatch.attempt, Moment::now()));
                 let sending = self.placer.clone().send(&self.head, &self.body, dispatch, self.deadline);
-                self.out.push(sending);
+                self.pending_operations.push(sending);
             }
             CallAction::Cancel { attempt, server } => {
-                let sent_at = self.sent.iter().find(|(known, _)| *known == attempt).map(|(_, at)| *at);
-                self.out.push(self.placer.clone().cancel(&self.head.service, attempt, server, sent_at));
+                let sent_at = self.sent.iter().find(|(sent_attempt, _)| *sent_attempt == attempt).map(|(_, at)| *at);
+                self.pending_operations.push(self.placer.clone().cancel(&self.head.service, attempt, server, sent_at));
             }
             CallAction::ArmHedge { after_us } => {
                 self.hedge_at = Some(Moment::now() + Duration::from_micros(after_us));
@@ -122,13 +122,13 @@
         if self.call.closed() {
             return true;
         }
-        let caller_gone = self.reply.as_ref().is_some_and(oneshot::Sender::is_closed);
-        if caller_gone {
+        let caller_disconnected = self.reply.as_ref().is_some_and(oneshot::Sender::is_closed);
+        if caller_disconnected {
             log::info!("event=call.abandoned call={}", self.head.call_id);
         }
         // Dropping the pending operations makes the owners stop: the result of a run that lost to a hedge, or whose
         // caller has disconnected, is not used.
-        let over = caller_gone || self.call.finished();
+        let over = caller_disconnected || self.call.finished();
         if over {
             self.placer.decide(&self.head.service, |cx| self.call.abandon(cx));
         }
@@ -138,17 +138,17 @@
     /// Waits for the next event; none if there is nothing to pass to the state machine.
     async fn next_event(&mut self) -> Option<CallEvent> {
         tokio::select! {
-            Some((event, answer)) = self.out.next(), if !self.out.is_empty() => {
+            Some((event, answer)) = self.pending_operations.next(), if !self.pending_operations.is_empty() => {
                 self.answers.extend(answer);
                 Some(event)
             }
-            () = sleep_maybe(self.hedge_at) => {
+            () = sleep_until(self.hedge_at) => {
                 self.hedge_at = None;
                 self.hedge_event()
             }
-            () = gone(&mut self.reply) => None,
-            () = sleep(self.deadline.left()), if !self.late => {
-                self.late = true;
+            () = disconnected(&mut self.reply) => None,
+            () = sleep(self.deadline.left()), if !self.is_past_deadline => {
+                self.is_past_deadline = true;
                 Some(CallEvent::DeadlineDue)
             }
         }
@@ -157,9 +157,9 @@
     /// Returns the event of a due hedge. Where the owner is probed first, returns none, and the end of the probe brings
     /// the event.
     fn hedge_event(&mut self) -> Option<CallEvent> {
-        match self.call.waits_for() {
-            Some(server) if self.looks_before_hedge => {
-                self.out.push(self.placer.clone().look(self.head.service.clone(), server));
+        match self.call.server_in_flight() {
+            Some(server) if self.probes_before_hedge => {
+                self.pending_operations.push(self.placer.clone().probe_before_hedge(self.head.service.clone(), server));
                 None
             }
             Some(_) | None => Some(CallEvent::HedgeDue),
@@ -189,14 +189,14 @@
 }
 
 /// Waits until the caller stops waiting for the result; never ends once the result is sent.
-async fn gone(reply: &mut Option<oneshot::Sender<Placed>>) {
+async fn disconnected(reply: &mut Option<oneshot::Sender<Placed>>) {
     match reply {
         Some(reply) => reply.closed().await,
         None => pending().await,
     }
 }
 
-async fn sleep_maybe(at: Option<Moment>) {
+async fn sleep_until(at: Option<Moment>) {
     match at {
         Some(at) => sleep(at.left()).await,
         None => pending().await,
--- a/valetrack/src/placement/message.rs
+++ b/valetrack/src/placement/message.rs
@@ -101,11 +101,11 @@
 
 impl SendCause {
     /// The causes that are charged.
-    pub const PAID: [Self; 3] = [Self::Rejected, Self::Retry, Self::Hedge];
+    pub const CHARGED: [Self; 3] = [Self::Rejected, Self::Retry, Self::Hedge];
 
     /// Returns whether an attempt sent for this cause may arrive after the first one of its call.
-    pub fn is_paid(self) -> bool {
-        Self::PAID.contains(&self)
+    pub fn is_charged(self) -> bool {
+        Self::CHARGED.contains(&self)
     }
 
     /// Returns the name of the cause in log lines and metrics.
@@ -200,11 +200,11 @@
 
 /// A load report with its time of receipt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SeenLoad {
+pub struct ReceivedLoad {
     /// The report.
     pub load: LoadReport,
     /// Time of receipt, on this process's monotonic clock.
-    pub seen_us: u64,
+    pub received_us: u64,
 }
 
 /// A call to be placed.
--- a/valetrack/src/placement/mod.rs
+++ b/valetrack/src/placement/mod.rs
@@ -29,7 +29,7 @@
 pub use call::{Budgets, Call, CallContext, CallRule, RepeatsRefused};
 pub use crowding::Crowding;
 pub use message::{
-    CallAction, CallEvent, Demand, Dispatch, Outcome, PlaceJob, Placed, SERVICE_UNKNOWN, SeenLoad, SendCause,
+    CallAction, CallEvent, Demand, Dispatch, Outcome, PlaceJob, Placed, ReceivedLoad, SERVICE_UNKNOWN, SendCause,
     ServerIndex, Verdict,
 };
 pub use nested::NestedCalls;
--- a/valetrack/src/placement/nested.rs
+++ b/valetrack/src/placement/nested.rs
@@ -10,7 +10,7 @@
 use crate::gate::PERMILLE;
 
 /// Time over which the calls per run are counted: some tens of runs of the slowest known upstreams.
-const COUNTED_US: u64 = 10_000_000;
+const COUNT_WINDOW_US: u64 = 10_000_000;
 /// Runs after which the calls per run are used.
 const RUNS_MIN: f64 = 10.0;
 
@@ -27,7 +27,7 @@
 
 impl Default for NestedCalls {
     fn default() -> Self {
-        Self { running: 0, repeats_permille: 0, runs: SlidingSum::new(COUNTED_US), calls: HashMap::new() }
+        Self { running: 0, repeats_permille: 0, runs: SlidingSum::new(COUNT_WINDOW_US), calls: HashMap::new() }
     }
 }
 
@@ -51,29 +51,29 @@
     }
 
     /// Records a call to a service, and returns the chance that a repeated run made it.
-    pub fn called(&mut self, service: &Arc<str>, now_us: u64) -> u16 {
-        let calls = self.calls.entry(service.clone()).or_insert_with(|| SlidingSum::new(COUNTED_US));
+    pub fn record_call(&mut self, service: &Arc<str>, now_us: u64) -> u16 {
+        let calls = self.calls.entry(service.clone()).or_insert_with(|| SlidingSum::new(COUNT_WINDOW_US));
         calls.add(1.0, now_us);
         let running = u64::from(self.running.max(1));
         (self.repeats_permille / running).min(PERMILLE as u64) as u16
     }
 
-    /// Removes the services for which `named` returns false.
-    pub fn retain(&mut self, named: impl Fn(&str) -> bool) {
-        self.calls.retain(|service, _| named(service));
+    /// Removes the services for which `is_configured` returns false.
+    pub fn retain(&mut self, is_configured: impl Fn(&str) -> bool) {
+        self.calls.retain(|service, _| is_configured(service));
     }
 
     /// Returns whether a repeated run may start: each service that it calls must have enough repeats left for this run
     /// and for the repeats in progress.
-    pub fn admits_repeat(&mut self, mut left: impl FnMut(&str) -> f64, now_us: u64) -> bool {
+    pub fn admits_repeat(&mut self, mut repeats_left: impl FnMut(&str) -> f64, now_us: u64) -> bool {
         let runs = self.runs.within(now_us);
         if runs < RUNS_MIN {
             return true;
         }
         let repeats = self.repeats_permille as f64 / PERMILLE + 1.0;
         self.calls.iter_mut().all(|(service, calls)| {
-            let for_each_run = calls.within(now_us) / runs;
-            for_each_run == 0.0 || left(service) >= for_each_run * repeats
+            let calls_per_run = calls.within(now_us) / runs;
+            calls_per_run == 0.0 || repeats_left(service) >= calls_per_run * repeats
         })
     }
 }
--- a/valetrack/src/placement/quantile.rs
+++ b/valetrack/src/placement/quantile.rs
@@ -22,13 +22,13 @@
 
 impl Quantile {
     /// Records a sample.
-    pub(super) fn take(&mut self, figure: f64, rule: &QuantileRule) {
+    pub(super) fn record(&mut self, sample: f64, rule: &QuantileRule) {
         self.count = self.count.saturating_add(1);
         if self.value == 0.0 {
-            self.value = figure;
+            self.value = sample;
             return;
         }
-        let up = if figure > self.value { rule.quantile } else { rule.quantile - 1.0 };
+        let up = if sample > self.value { rule.quantile } else { rule.quantile - 1.0 };
         let step = rule.step.max(rule.first_step / f64::from(self.count));
         self.value *= 1.0 + step * up;
     }
--- a/valetrack/src/placement/repeat.rs
+++ b/valetrack/src/placement/repeat.rs
@@ -39,7 +39,7 @@
     /// This entry's part of the reserve.
     reserve: f64,
     /// Whether no other node is known, so that this part is the whole reserve.
-    alone: bool,
+    is_alone: bool,
     /// When the entry started; none if no earlier incarnation has spent its part.
     started_us: Option<u64>,
     window_us: u64,
@@ -53,7 +53,7 @@
         Self {
             share: f64::from(percent) / 100.0,
             reserve: reserve.into(),
-            alone: false,
+            is_alone: false,
             started_us: None,
             window_us: WINDOW_US,
             calls: SlidingSum::new(WINDOW_US),
@@ -65,23 +65,23 @@
     ///
     /// An earlier incarnation may have spent its part of the reserve, so the part of this one grows to its full size
     /// over one window. It is empty until [`configure`](Self::configure) is called for the first time.
-    pub fn of_fleet(promise: RepeatPromise, now_us: u64) -> Self {
+    pub fn of_fleet(guarantee: RepeatPromise, now_us: u64) -> Self {
         Self {
-            share: spent_share(promise),
+            share: spent_share(guarantee),
             reserve: 0.0,
-            alone: true,
+            is_alone: true,
             started_us: Some(now_us),
-            window_us: promise.window_us.max(1),
-            calls: SlidingSum::new(promise.window_us),
-            repeats: SlidingSum::new(promise.window_us),
+            window_us: guarantee.window_us.max(1),
+            calls: SlidingSum::new(guarantee.window_us),
+            repeats: SlidingSum::new(guarantee.window_us),
         }
     }
 
     /// Applies a guarantee to an entry of a fleet of `members` nodes.
-    pub fn configure(&mut self, promise: RepeatPromise, members: u32) {
-        self.share = spent_share(promise);
-        self.alone = members <= 1;
-        self.reserve = f64::from(promise.reserve) * RESERVE_SPENT_PERCENT / 100.0 / f64::from(members.max(1));
+    pub fn configure(&mut self, guarantee: RepeatPromise, members: u32) {
+        self.share = spent_share(guarantee);
+        self.is_alone = members <= 1;
+        self.reserve = f64::from(guarantee.reserve) * RESERVE_SPENT_PERCENT / 100.0 / f64::from(members.max(1));
     }
 
     /// Records a call with the chance (0 to 1) that the call is itself a repeat, because a repeated run made it. Such a
@@ -117,7 +117,7 @@
             return self.reserve;
         };
         let age_us = now_us.saturating_sub(started_us).min(self.window_us);
-        if self.alone && age_us < self.window_us {
+        if self.is_alone && age_us < self.window_us {
             // The entry has no record of the other nodes yet, and they rely on their parts.
             return 0.0;
         }
@@ -126,14 +126,14 @@
 }
 
 /// Returns the repeats that entries spend per call.
-fn spent_share(promise: RepeatPromise) -> f64 {
-    f64::from(promise.percent) / 100.0 * SHARE_SPENT_PERCENT / 100.0
+fn spent_share(guarantee: RepeatPromise) -> f64 {
+    f64::from(guarantee.percent) / 100.0 * SHARE_SPENT_PERCENT / 100.0
 }
 
 /// How long a fleet counts as larger than its known members suggest: entries that expire in an outage of the store, or
 /// a view that has just started, do not make the fleet smaller. Outages of some tens of seconds are usual, and a fleet
 /// that shrinks for good only spends less during this time.
-const REMEMBERED_US: u64 = 60_000_000;
+const SHRINK_DELAY_US: u64 = 60_000_000;
 
 /// Number of nodes that share a fleet's guarantees.
 #[derive(Debug, Clone, Copy, Default)]
@@ -145,13 +145,13 @@
 
 impl FleetSize {
     /// Records the number of known members, and returns the number of nodes that share the guarantees.
-    pub fn known(&mut self, members: u32, now_us: u64) -> u32 {
+    pub fn update(&mut self, members: u32, now_us: u64) -> u32 {
         if members >= self.members {
             *self = Self { members, fewer_since_us: None };
             return members;
         }
         let since_us = *self.fewer_since_us.get_or_insert(now_us);
-        if now_us.saturating_sub(since_us) >= REMEMBERED_US {
+        if now_us.saturating_sub(since_us) >= SHRINK_DELAY_US {
             *self = Self { members, fewer_since_us: None };
         }
         self.members
--- a/valetrack/src/placement/run.rs
+++ b/valetrack/src/placement/run.rs
@@ -36,12 +36,12 @@
 use crate::timeline::log as events;
 
 /// Time limit of an owner's reply to a cancel or a probe.
-pub(super) const PROMPT_MS: u64 = 150;
+pub(super) const REPLY_LIMIT_MS: u64 = 150;
 
 struct Inner {
     services: HashMap<Arc<str>, ServiceState>,
     /// Usual run times by route.
-    works: HashMap<Arc<str>, WorkEstimate>,
+    work_estimates: HashMap<Arc<str>, WorkEstimate>,
     /// Usual time limits of callers by route.
     caller_times: HashMap<Arc<str>, CallerTime>,
     /// Routes that upstreams call during their runs.
@@ -104,7 +104,7 @@
     pub fn new(parts: PlacerParts, crashes: Rc<Quarantine>) -> Rc<Self> {
         let inner = Inner {
             services: HashMap::new(),
-            works: HashMap::new(),
+            work_estimates: HashMap::new(),
             caller_times: HashMap::new(),
             nested_routes: HashSet::new(),
             nested_calls: NestedCalls::default(),
@@ -146,7 +146,7 @@
             let in_force = bundle.borrow_and_update().clone();
             let known = members.borrow_and_update().clone();
             if let Some(in_force) = in_force {
-                self.adopt(&in_force, &known);
+                self.apply_config(&in_force, &known);
             }
             let changed = tokio::select! {
                 changed = bundle.changed() => changed,
@@ -158,18 +158,18 @@
         }
     }
 
-    fn adopt(&self, in_force: &InForce, members: &Members) {
+    fn apply_config(&self, in_force: &InForce, members: &Members) {
         let mut inner = self.inner.borrow_mut();
         let MeasureRule { bytes_per_s, probes_per_s, .. } = in_force.bundle.measure;
         inner.measure.configure(bytes_per_s.into(), bytes_per_s.into(), now_us());
         inner.probes.configure(probes_per_s.into(), probes_per_s.into(), now_us());
         self.metrics.measure_budget.set(bytes_per_s.into());
         inner.services.retain(|name, _| in_force.bundle.service(name).is_some());
-        inner.works.retain(|route, _| in_force.bundle.routes.contains(route));
+        inner.work_estimates.retain(|route, _| in_force.bundle.routes.contains(route));
         inner.caller_times.retain(|route, _| in_force.bundle.routes.contains(route));
         inner.nested_routes.retain(|route| in_force.bundle.routes.contains(route));
         inner.nested_calls.retain(|service| in_force.bundle.service(service).is_some());
-        let fleet = inner.fleet.known(members.iter().count() as u32, now_us());
+        let fleet = inner.fleet.update(members.iter().count() as u32, now_us());
         for rule in &in_force.bundle.services {
             let state = inner
                 .services
@@ -188,7 +188,7 @@
         }
         let (reply, placed) = oneshot::channel();
         head.work_us = rule.demand.map_or(0, |demand| demand.work_us);
-        self.mark_nested(&mut head);
+        self.mark_repeat_chance(&mut head);
         tokio::task::spawn_local(drive(self, head, body, rule, reply));
         let lost = Placed::Verdict(Verdict::Unknown { code: Code::LinkLost });
         placed.await.unwrap_or(lost)
@@ -196,30 +196,30 @@
 
     /// Records the time limit that a caller of a route sends, and returns how long the caller has waited since its
     /// first call.
-    pub fn waited_ms(&self, route: &Arc<str>, given_ms: u32) -> u32 {
+    pub fn waited_ms(&self, route: &Arc<str>, limit_ms: u32) -> u32 {
         let mut inner = self.inner.borrow_mut();
         match inner.caller_times.get_mut(route) {
-            Some(time) => time.waited_ms(given_ms),
-            None => inner.caller_times.entry(route.clone()).or_default().waited_ms(given_ms),
+            Some(time) => time.waited_ms(limit_ms),
+            None => inner.caller_times.entry(route.clone()).or_default().waited_ms(limit_ms),
         }
     }
 
     /// Returns the requirements of a call of a route on its server.
     pub fn demand(&self, route: &Arc<str>, objective_ms: u32) -> Demand {
         let inner = self.inner.borrow();
-        inner.works.get(route).copied().unwrap_or_default().demand(objective_ms)
+        inner.work_estimates.get(route).copied().unwrap_or_default().demand(objective_ms)
     }
 
     /// Records the duration of one run of a route.
     pub fn ran(&self, route: &Arc<str>, ran_us: u32) {
         let mut inner = self.inner.borrow_mut();
-        if let Some(work) = inner.works.get_mut(route) {
+        if let Some(work) = inner.work_estimates.get_mut(route) {
             work.ran(ran_us);
             return;
         }
         let mut work = WorkEstimate::default();
         work.ran(ran_us);
-        inner.works.insert(route.clone(), work);
+        inner.work_estimates.insert(route.clone(), work);
     }
 
     /// Returns the placement rule for calls of a service; `attempts_max` limits the upstreams that a call may run on.
@@ -260,8 +260,8 @@
     /// Returns the age of the last load report of a server.
     pub(super) fn report_age_ms(&self, service: &str, server: ServerIndex) -> Option<u64> {
         let inner = self.inner.borrow();
-        let seen_us = inner.services.get(service)?.view.seen_us(server)?;
-        Some(now_us().saturating_sub(seen_us) / 1000)
+        let received_us = inner.services.get(service)?.view.received_us(server)?;
+        Some(now_us().saturating_sub(received_us) / 1000)
     }
 
     /// Sends a request to another node through the link thread.
@@ -270,24 +270,24 @@
     }
 
     /// Applies the state that is piggybacked on a reply.
-    pub(super) fn learn(&self, service: &str, server: ServerIndex, result: &LinkResult) {
+    pub(super) fn apply_piggyback(&self, service: &str, server: ServerIndex, result: &LinkResult) {
         let LinkResult::Reply(answered) = result else {
             return;
         };
-        let riding = answered.head.riding;
-        events::observe(riding.hlc);
-        self.report(service, server, riding.load);
+        let piggyback = answered.head.riding;
+        events::observe(piggyback.hlc);
+        self.report(service, server, piggyback.load);
         let number = self.bundle.borrow().as_ref().map_or(0, |bundle| bundle.number);
-        if number == riding.bundle {
+        if number == piggyback.bundle {
             return;
         }
         let Some(target) = self.target(service, server) else {
             return;
         };
-        let job = match number < riding.bundle {
-            true => MemberJob::Bundle { number: riding.bundle, from: target },
+        let job = match number < piggyback.bundle {
+            true => MemberJob::Bundle { number: piggyback.bundle, from: target },
             // Only a node that has just started lacks a bundle for long; others are about to receive it.
-            false if riding.bundle == 0 => MemberJob::Behind { peer: target },
+            false if piggyback.bundle == 0 => MemberJob::Behind { peer: target },
             false => return,
         };
         // If the channel is full, the next reply triggers the job again.
@@ -296,7 +296,7 @@
 
     /// Has the members query an owner that has declined a call because its failure domain is evacuated: a node whose
     /// requests the store refuses has no other way to learn of the evacuation.
-    pub(super) fn learn_evacuation(&self, service: &str, server: ServerIndex) {
+    pub(super) fn report_evacuation(&self, service: &str, server: ServerIndex) {
         if let Some(from) = self.target(service, server) {
             // If the channel is full, the next decline triggers the job again.
             let _ = self.to_member.try_send(MemberJob::Evacuation { from });
--- a/valetrack/src/placement/run/ledger.rs
+++ b/valetrack/src/placement/run/ledger.rs
@@ -11,10 +11,10 @@
 impl Placer {
     /// Sets the chance that a repeated run of the entry's own upstream made a call, unless the call carries a higher
     /// one, and counts it.
-    pub(super) fn mark_nested(&self, head: &mut CallHead) {
+    pub(super) fn mark_repeat_chance(&self, head: &mut CallHead) {
         let inner = &mut *self.inner.borrow_mut();
         if inner.nested_routes.contains(&head.route) {
-            let chance_permille = inner.nested_calls.called(&head.service, now_us());
+            let chance_permille = inner.nested_calls.record_call(&head.service, now_us());
             head.repeat_permille = head.repeat_permille.max(chance_permille);
         }
         if head.repeat_permille > 0 {
@@ -24,7 +24,7 @@
     }
 
     /// Records whether upstreams call a route during their runs, as reported by an owner of its service.
-    pub(in crate::placement) fn learn_nested(&self, route: &Arc<str>, nested: Option<bool>) {
+    pub(in crate::placement) fn record_nested_route(&self, route: &Arc<str>, nested: Option<bool>) {
         let mut inner = self.inner.borrow_mut();
         match nested {
             Some(true) => inner.nested_routes.insert(route.clone()),
--- a/valetrack/src/placement/run/probe.rs
+++ b/valetrack/src/placement/run/probe.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 
-use super::{PROMPT_MS, Placer};
+use super::{Placer, REPLY_LIMIT_MS};
 use crate::clock::now_us;
 use crate::link::message::{Ask, Question};
 use crate::link::peer::LinkResult;
@@ -18,7 +18,7 @@
 /// Interval of the search for stale views while calls arrive.
 const PROBE_PERIOD_MS: u64 = 20;
 /// Interval of the search for stale views while no calls arrive.
-const PROBE_QUIET_MS: u64 = 250;
+const PROBE_IDLE_PERIOD_MS: u64 = 250;
 
 impl Placer {
     /// Probes stale views within the budget, for as long as the placer runs.
@@ -26,7 +26,7 @@
         let mut seen_seq = 0;
         loop {
             let seq = self.inner.borrow().next_seq;
-            let pause_ms = if seq == seen_seq { PROBE_QUIET_MS } else { PROBE_PERIOD_MS };
+            let pause_ms = if seq == seen_seq { PROBE_IDLE_PERIOD_MS } else { PROBE_PERIOD_MS };
             seen_seq = seq;
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let stale_ms = self.bundle.borrow().as_ref().map(|bundle| bundle.bundle.measure.stale_ms);
@@ -69,8 +69,8 @@
             return false;
         };
         let question = Question { ask: Ask::Probe, body: Bytes::new() };
-        let result = self.ask(target, question, Duration::from_millis(PROMPT_MS)).await;
-        self.learn(service, server, &result);
+        let result = self.ask(target, question, Duration::from_millis(REPLY_LIMIT_MS)).await;
+        self.apply_piggyback(service, server, &result);
         matches!(result, LinkResult::Reply(_))
     }
 }
--- a/valetrack/src/placement/service.rs
+++ b/valetrack/src/placement/service.rs
@@ -15,9 +15,9 @@
 /// VMs, whose earlier incarnations keep theirs until no attempt is in flight there.
 pub(super) const CONSIDERED_MAX: usize = MAX_SERVERS - 8;
 /// Retries and hedges of one entry beyond their shares, in a window.
-const SHARE_BURST: u32 = 20;
+const LOCAL_RESERVE: u32 = 20;
 /// Divisor of the cost of leaving the failure domain that gives the cost of reaching another VM of the same domain.
-const NEAR_DIVISOR: u32 = 10;
+const SAME_DOMAIN_DIVISOR: u32 = 10;
 
 /// State of one service at an entry.
 pub(super) struct ServiceState {
@@ -32,11 +32,11 @@
 impl ServiceState {
     /// Creates the state of a service without known servers.
     pub(super) fn new(rule: &ServiceRule, policy: Policy, now_us: u64) -> Self {
-        let budgets = match repeat_promise(rule) {
-            Some(promise) => Budgets::of_fleet(promise, now_us),
+        let budgets = match retry_guarantee(rule) {
+            Some(guarantee) => Budgets::of_fleet(guarantee, now_us),
             None => Budgets::new(
-                RepeatBudget::new(rule.retry_percent, SHARE_BURST),
-                RepeatBudget::new(rule.hedge_percent, SHARE_BURST),
+                RepeatBudget::new(rule.retry_percent, LOCAL_RESERVE),
+                RepeatBudget::new(rule.hedge_percent, LOCAL_RESERVE),
             ),
         };
         Self { view: ServiceView::new(policy), budgets, targets: Vec::new() }
@@ -44,8 +44,8 @@
 
     /// Applies the guarantee on repeats of the service, if it has one, in a fleet of `members` nodes.
     pub(super) fn configure(&mut self, rule: &ServiceRule, members: u32) {
-        if let Some(promise) = repeat_promise(rule) {
-            self.budgets.retry.configure(promise, members);
+        if let Some(guarantee) = retry_guarantee(rule) {
+            self.budgets.retry.configure(guarantee, members);
         }
     }
 
@@ -67,7 +67,7 @@
             kept[server] = true;
             let network_us = match () {
                 () if &*candidate.vm == vm => 0,
-                () if &*candidate.domain == domain => domain_cost_us / NEAR_DIVISOR,
+                () if &*candidate.domain == domain => domain_cost_us / SAME_DOMAIN_DIVISOR,
                 () => domain_cost_us,
             };
             self.view.set_present(server, true, network_us);
@@ -134,7 +134,7 @@
 }
 
 /// Returns the guarantee on repeats of a service, if its rule has a fleet-wide budget.
-fn repeat_promise(rule: &ServiceRule) -> Option<RepeatPromise> {
+fn retry_guarantee(rule: &ServiceRule) -> Option<RepeatPromise> {
     let FleetRetries { reserve, window_ms } = rule.fleet_retries?;
     Some(RepeatPromise { percent: rule.retry_percent, reserve, window_us: u64::from(window_ms) * 1000 })
 }
--- a/valetrack/src/placement/tests/budget.rs
+++ b/valetrack/src/placement/tests/budget.rs
@@ -61,9 +61,9 @@
         members in 1..20u32,
         steps in prop::collection::vec((0..300_000u64, 0..3u8, 0..4u8), 1..400),
     ) {
-        let promise = RepeatPromise { percent, reserve, window_us: WINDOW_US };
-        let mut budget = RepeatBudget::of_fleet(promise, 0);
-        budget.configure(promise, members);
+        let guarantee = RepeatPromise { percent, reserve, window_us: WINDOW_US };
+        let mut budget = RepeatBudget::of_fleet(guarantee, 0);
+        budget.configure(guarantee, members);
         let mut now_us = 0u64;
         let (mut calls, mut repeats) = (Vec::new(), Vec::new());
         for (pause_us, begun, asked) in steps {
@@ -95,10 +95,10 @@
 
 #[test]
 fn a_node_that_starts_again_gets_to_its_part_of_the_reserve_over_a_window() {
-    let promise = RepeatPromise { percent: 0, reserve: 100, window_us: WINDOW_US };
+    let guarantee = RepeatPromise { percent: 0, reserve: 100, window_us: WINDOW_US };
     let spent_until = |age_us: u64| {
-        let mut budget = RepeatBudget::of_fleet(promise, 5_000_000);
-        budget.configure(promise, 10);
+        let mut budget = RepeatBudget::of_fleet(guarantee, 5_000_000);
+        budget.configure(guarantee, 10);
         (0..10).filter(|_| budget.take(5_000_000 + age_us)).count()
     };
     assert_eq!([0, WINDOW_US / 2, WINDOW_US, WINDOW_US * 9].map(spent_until), [0, 2, 4, 4]);
@@ -106,9 +106,9 @@
 
 #[test]
 fn a_node_that_has_just_started_and_knows_nobody_spends_no_reserve() {
-    let promise = RepeatPromise { percent: 0, reserve: 100, window_us: WINDOW_US };
-    let mut budget = RepeatBudget::of_fleet(promise, 0);
-    budget.configure(promise, 1);
+    let guarantee = RepeatPromise { percent: 0, reserve: 100, window_us: WINDOW_US };
+    let mut budget = RepeatBudget::of_fleet(guarantee, 0);
+    budget.configure(guarantee, 1);
     assert!(!budget.take(WINDOW_US - 1));
     assert!(budget.take(WINDOW_US), "a fleet of one node has the whole reserve");
 }
@@ -132,9 +132,9 @@
 
 #[test]
 fn a_large_fleet_spends_its_share_where_its_part_of_the_reserve_is_less_than_one() {
-    let promise = RepeatPromise { percent: 20, reserve: 58, window_us: WINDOW_US };
-    let mut budget = RepeatBudget::of_fleet(promise, 0);
-    budget.configure(promise, 12_000);
+    let guarantee = RepeatPromise { percent: 20, reserve: 58, window_us: WINDOW_US };
+    let mut budget = RepeatBudget::of_fleet(guarantee, 0);
+    budget.configure(guarantee, 12_000);
     (0..6).for_each(|_| budget.begin(0.0, WINDOW_US));
     assert!(budget.take(WINDOW_US));
     assert!(!budget.take(WINDOW_US));
@@ -144,7 +144,7 @@
 fn entries_that_lapse_for_a_while_do_not_make_the_fleet_smaller() {
     let mut fleet = FleetSize::default();
     let known = [(1, 0), (13, 200_000), (2, 10_000_000), (13, 30_000_000), (5, 40_000_000), (5, 101_000_000)];
-    let shared: Vec<u32> = known.into_iter().map(|(members, at_us)| fleet.known(members, at_us)).collect();
+    let shared: Vec<u32> = known.into_iter().map(|(members, at_us)| fleet.update(members, at_us)).collect();
     assert_eq!(shared, [1, 13, 13, 13, 13, 5]);
 }
 
--- a/valetrack/src/placement/tests/call.rs
+++ b/valetrack/src/placement/tests/call.rs
@@ -325,7 +325,7 @@
     let mut world = single(CallRule { repeatable: true, demand, ..ONCE });
     world.tell(CallEvent::HedgeDue).expect("no broken promise");
     assert_eq!(world.attempts.len(), 1, "an owner that answers is waited for");
-    let silent = world.call.waits_for().expect("one attempt");
+    let silent = world.call.server_in_flight().expect("one attempt");
     world.view.suspect(silent, 0);
     world.tell(CallEvent::HedgeDue).expect("no broken promise");
     assert_eq!(world.attempts.len(), 2);
--- a/valetrack/src/placement/tests/fleet.rs
+++ b/valetrack/src/placement/tests/fleet.rs
@@ -271,7 +271,7 @@
         }
         let repeat_permille = match caller {
             Caller::Outside => 0,
-            Caller::Run { .. } => self.entries[vm].nested.called(&Arc::from("back"), self.now_us),
+            Caller::Run { .. } => self.entries[vm].nested.record_call(&Arc::from("back"), self.now_us),
         };
         let demand = Some(Demand { work_us: RUN_US as u32, left_us: 400_000 });
         let rule = CallRule { repeatable: true, bounces: 4, retries: 1, hedge_after_percent: None, demand };
--- a/valetrack/src/placement/tests/view.rs
+++ b/valetrack/src/placement/tests/view.rs
@@ -30,7 +30,7 @@
         let mut now_us = 0;
         for (server, healthy, pause_us) in judgements {
             now_us += pause_us;
-            view.judge(server % servers, healthy, now_us);
+            view.record_health(server % servers, healthy, now_us);
             prop_assert!(view.rotation(now_us).len() * 2 >= servers);
         }
     }
@@ -66,7 +66,7 @@
 fn a_server_that_fails_at_once_is_ejected_and_comes_back() {
     let mut view = view(4);
     for _ in 0..5 {
-        view.judge(1, false, 1_000);
+        view.record_health(1, false, 1_000);
     }
     assert!(!view.rotation(1_000).contains(1));
     assert!(view.rotation(1_100_000).contains(1));
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -3,7 +3,7 @@
 mod worth;
 
 use super::crowding::Crowding;
-use super::message::{SeenLoad, ServerIndex};
+use super::message::{ReceivedLoad, ServerIndex};
 use super::policy::Policy;
 use super::set::ServerSet;
 use crate::gate::LoadReport;
@@ -12,9 +12,9 @@
 /// Maximum number of servers of one service that placement considers.
 pub const MAX_SERVERS: usize = 64;
 /// Service time assumed for a server without a load report.
-const FIRST_SERVICE_US: u32 = 2_000;
+const ASSUMED_SERVICE_US: u32 = 2_000;
 /// Slots assumed for a server without a load report.
-const FIRST_LIMIT: u16 = 4;
+const ASSUMED_LIMIT: u16 = 4;
 /// Time in which the weight of a report halves.
 const HALF_LIFE_US: u64 = 20_000;
 /// Servers whose scores differ by less than this share of the best score count as equal.
@@ -29,9 +29,9 @@
 /// Longest ejection.
 const EJECT_MAX_US: u64 = 30_000_000;
 /// Time for which a report that a server is full is relied on.
-pub const ROOM_US: u64 = 10_000;
+pub const FULL_REPORT_VALID_US: u64 = 10_000;
 /// A service without a pick for this many stale times is not probed.
-const USED_STALES: u64 = 10;
+const IN_USE_STALE_TIMES: u64 = 10;
 /// Addition to the expected time of a stalled server.
 const STALL_PENALTY_US: f64 = 25_000.0;
 /// Service times added to the score of a server whose recent calls all failed; in proportion if only some failed.
@@ -45,12 +45,12 @@
     /// Expected network round-trip time.
     network_us: u32,
     /// Whether the server is in another failure domain, to which traffic is expensive.
-    far: bool,
-    seen: Option<SeenLoad>,
+    cross_domain: bool,
+    last_report: Option<ReceivedLoad>,
     /// Attempts of this entry in flight.
     outstanding: u32,
     /// `outstanding` at the time of the last report.
-    outstanding_seen: u32,
+    outstanding_at_report: u32,
     failures: u32,
     failure_share: f64,
     ejected_until_us: u64,
@@ -64,10 +64,10 @@
     present: false,
     leaving: false,
     network_us: 0,
-    far: false,
-    seen: None,
+    cross_domain: false,
+    last_report: None,
     outstanding: 0,
-    outstanding_seen: 0,
+    outstanding_at_report: 0,
     failures: 0,
     failure_share: 0.0,
     ejected_until_us: 0,
@@ -78,8 +78,8 @@
 
 impl ServerView {
     /// Returns the calls of other entries in a report.
-    fn seen_others(&self, load: &LoadReport) -> f64 {
-        (f64::from(load.in_flight) + f64::from(load.queued) - f64::from(self.outstanding_seen)).max(0.0)
+    fn reported_others(&self, load: &LoadReport) -> f64 {
+        (f64::from(load.in_flight) + f64::from(load.queued) - f64::from(self.outstanding_at_report)).max(0.0)
     }
 }
 
@@ -89,10 +89,10 @@
     servers: Vec<ServerView>,
     policy: Policy,
     turn: usize,
-    used_us: Option<u64>,
+    last_pick_us: Option<u64>,
     crowding: Crowding,
     /// Whether the traffic share of any server differs from the usual one.
-    has_parts: bool,
+    is_in_rollout: bool,
     trial: TrialShare,
 }
 
@@ -103,9 +103,9 @@
             servers: Vec::new(),
             policy,
             turn: 0,
-            used_us: None,
+            last_pick_us: None,
             crowding: Crowding::default(),
-            has_parts: false,
+            is_in_rollout: false,
             trial: TrialShare::default(),
         }
     }
@@ -129,9 +129,9 @@
     }
 
     /// Sets whether a server is in another failure domain.
-    pub fn set_far(&mut self, server: ServerIndex, far: bool) {
+    pub fn set_far(&mut self, server: ServerIndex, cross_domain: bool) {
         if let Some(view) = self.servers.get_mut(server) {
-            view.far = far;
+            view.cross_domain = cross_domain;
         }
     }
 
@@ -140,7 +140,7 @@
         if let Some(view) = self.servers.get_mut(server) {
             view.part = part;
         }
-        self.has_parts = self.servers.iter().any(|view| view.present && view.part != ServerPart::Usual);
+        self.is_in_rollout = self.servers.iter().any(|view| view.present && view.part != ServerPart::Usual);
     }
 
     /// Sets the numbers of servers on trial and of other servers. `start_permille` is the point at which this entry
@@ -150,41 +150,41 @@
     }
 
     /// Returns whether the next call goes to a server on trial.
-    pub fn takes_trial(&mut self) -> bool {
-        self.has_parts && self.trial.takes_next()
+    pub fn next_is_trial(&mut self) -> bool {
+        self.is_in_rollout && self.trial.takes_next()
     }
 
     /// Returns the servers that have another traffic share than `part`.
-    pub fn outside(&self, part: ServerPart) -> ServerSet {
-        let mut outside = ServerSet::default();
-        if !self.has_parts {
-            return outside;
+    pub fn servers_without(&self, part: ServerPart) -> ServerSet {
+        let mut servers_without = ServerSet::default();
+        if !self.is_in_rollout {
+            return servers_without;
         }
         for (server, _) in self.servers.iter().enumerate().filter(|(_, view)| view.part != part) {
-            outside.insert(server);
+            servers_without.insert(server);
         }
-        outside
+        servers_without
     }
 
     /// Returns the servers in other failure domains if a server of the own domain is in rotation outside `excluded`;
     /// otherwise the set is empty, since there is no choice.
-    pub fn far_where_near_is_open(&self, excluded: ServerSet, now_us: u64) -> ServerSet {
+    pub fn cross_domain_if_own_open(&self, excluded: ServerSet, now_us: u64) -> ServerSet {
         let rotation = self.rotation(now_us);
-        let mut far = ServerSet::default();
-        let mut near_is_open = false;
+        let mut cross_domain = ServerSet::default();
+        let mut own_is_open = false;
         for (server, view) in self.servers.iter().enumerate() {
-            if view.far {
-                far.insert(server);
+            if view.cross_domain {
+                cross_domain.insert(server);
             } else {
-                near_is_open |= rotation.contains(server) && !excluded.contains(server);
+                own_is_open |= rotation.contains(server) && !excluded.contains(server);
             }
         }
-        if near_is_open { far } else { ServerSet::default() }
+        if own_is_open { cross_domain } else { ServerSet::default() }
     }
 
     /// Returns whether a server is in another failure domain.
-    pub fn is_far(&self, server: ServerIndex) -> bool {
-        self.servers.get(server).is_some_and(|view| view.far)
+    pub fn is_cross_domain(&self, server: ServerIndex) -> bool {
+        self.servers.get(server).is_some_and(|view| view.cross_domain)
     }
 
     /// Marks a server as leaving; it never returns under the same index.
@@ -200,26 +200,26 @@
             return;
         };
         view.leaving |= load.leaving;
-        view.seen = Some(SeenLoad { load, seen_us: now_us });
-        view.outstanding_seen = view.outstanding;
+        view.last_report = Some(ReceivedLoad { load, received_us: now_us });
+        view.outstanding_at_report = view.outstanding;
     }
 
     /// Counts an attempt sent to a server.
-    pub fn sent(&mut self, server: ServerIndex) {
+    pub fn count_sent(&mut self, server: ServerIndex) {
         if let Some(view) = self.servers.get_mut(server) {
             view.outstanding += 1;
         }
     }
 
     /// Counts the end of an attempt at a server.
-    pub fn returned(&mut self, server: ServerIndex) {
+    pub fn count_end(&mut self, server: ServerIndex) {
         if let Some(view) = self.servers.get_mut(server) {
             view.outstanding = view.outstanding.saturating_sub(1);
         }
     }
 
     /// Records whether an attempt that ran, or a link that broke, showed the server to be healthy.
-    pub fn judge(&mut self, server: ServerIndex, healthy: bool, now_us: u64) {
+    pub fn record_health(&mut self, server: ServerIndex, healthy: bool, now_us: u64) {
         let Some(view) = self.servers.get_mut(server) else {
             return;
         };
@@ -239,13 +239,13 @@
     }
 
     /// Records whether an attempt found a server full.
-    pub fn found_full(&mut self, full: bool, now_us: u64) {
-        self.crowding.found(full, now_us);
+    pub fn record_full(&mut self, full: bool, now_us: u64) {
+        self.crowding.record(full, now_us);
     }
 
-    /// Returns how many owners, of at most `most`, may decline a call for lack of room.
-    pub fn bounces(&self, most: u8, now_us: u64) -> u8 {
-        self.crowding.bounces(most, now_us)
+    /// Returns how many owners, of at most `declines_max`, may decline a call for lack of room.
+    pub fn allowed_declines(&self, declines_max: u8, now_us: u64) -> u8 {
+        self.crowding.allowed_declines(declines_max, now_us)
     }
 
     /// Takes a server out of rotation at once, since its node is unreachable.
@@ -276,17 +276,17 @@
     /// most of them look unhealthy, the fault is in the view.
     pub fn rotation(&self, now_us: u64) -> ServerSet {
         let mut all = ServerSet::default();
-        let mut sound = ServerSet::default();
+        let mut not_ejected = ServerSet::default();
         for (server, view) in self.servers.iter().enumerate() {
             if !view.present || view.leaving {
                 continue;
             }
             all.insert(server);
             if view.ejected_until_us <= now_us {
-                sound.insert(server);
+                not_ejected.insert(server);
             }
         }
-        if sound.len() * 2 >= all.len() && !sound.is_empty() { sound } else { all }
+        if not_ejected.len() * 2 >= all.len() && !not_ejected.is_empty() { not_ejected } else { all }
     }
 
     /// Returns whether a server is in the roster.
@@ -304,123 +304,130 @@
     /// Returns the server with the oldest report or probe, and the age in microseconds, if the age is over `stale_us`
     /// and the service was used recently.
     pub fn stalest(&self, now_us: u64, stale_us: u64) -> Option<(u64, ServerIndex)> {
-        let lately = self.used_us.is_some_and(|used_us| now_us < used_us + USED_STALES * stale_us);
-        if !lately {
+        let is_in_use =
+            self.last_pick_us.is_some_and(|last_pick_us| now_us < last_pick_us + IN_USE_STALE_TIMES * stale_us);
+        if !is_in_use {
             return None;
         }
         let age_us = |view: &ServerView| {
-            let seen_us = view.seen.map_or(0, |seen| seen.seen_us).max(view.probed_us);
-            now_us.saturating_sub(seen_us)
+            let received_us = view.last_report.map_or(0, |last_report| last_report.received_us).max(view.probed_us);
+            now_us.saturating_sub(received_us)
         };
-        let open = self.servers.iter().enumerate().filter(|(_, view)| view.present && !view.leaving);
-        let oldest = open.map(|(server, view)| (age_us(view), server)).max()?;
+        let eligible = self.servers.iter().enumerate().filter(|(_, view)| view.present && !view.leaving);
+        let oldest = eligible.map(|(server, view)| (age_us(view), server)).max()?;
         Some(oldest).filter(|(age_us, _)| *age_us > stale_us)
     }
 
     /// Returns when the last load report of a server was received.
-    pub fn seen_us(&self, server: ServerIndex) -> Option<u64> {
-        self.servers.get(server)?.seen.map(|seen| seen.seen_us)
+    pub fn received_us(&self, server: ServerIndex) -> Option<u64> {
+        self.servers.get(server)?.last_report.map(|last_report| last_report.received_us)
     }
 
     /// Returns the smoothed service time of a server as last reported.
     pub fn service_us(&self, server: ServerIndex) -> u32 {
-        self.servers.get(server).and_then(|view| view.seen).map_or(FIRST_SERVICE_US, |seen| seen.load.service_us)
+        self.servers
+            .get(server)
+            .and_then(|view| view.last_report)
+            .map_or(ASSUMED_SERVICE_US, |last_report| last_report.load.service_us)
     }
 
     /// Returns whether a server outside `tried` appears able to start a call at once. A server without a report from
     /// the last `fresh_us` counts as able.
     pub fn has_room(&self, tried: ServerSet, fresh_us: u64, now_us: u64) -> bool {
         let rotation = self.rotation(now_us);
-        let open = |server: &ServerIndex| rotation.contains(*server) && !tried.contains(*server);
-        (0..self.servers.len()).filter(open).any(|server| self.looks_free(server, fresh_us, now_us))
+        let eligible = |server: &ServerIndex| rotation.contains(*server) && !tried.contains(*server);
+        (0..self.servers.len()).filter(eligible).any(|server| self.appears_free(server, fresh_us, now_us))
     }
 
-    fn looks_free(&self, server: ServerIndex, fresh_us: u64, now_us: u64) -> bool {
+    fn appears_free(&self, server: ServerIndex, fresh_us: u64, now_us: u64) -> bool {
         let view = &self.servers[server];
-        let Some(seen) = view.seen.filter(|seen| now_us < seen.seen_us + fresh_us) else {
+        let Some(last_report) = view.last_report.filter(|last_report| now_us < last_report.received_us + fresh_us)
+        else {
             return true;
         };
-        let LoadReport { limit, in_flight, queued, stalled, .. } = seen.load;
-        let since = view.outstanding.saturating_sub(view.outstanding_seen);
+        let LoadReport { limit, in_flight, queued, stalled, .. } = last_report.load;
+        let since = view.outstanding.saturating_sub(view.outstanding_at_report);
         !stalled && u32::from(in_flight) + u32::from(queued) + since < u32::from(limit)
     }
 
     /// Picks a server in rotation outside `excluded`, if there is one.
     pub fn pick(&mut self, excluded: ServerSet, now_us: u64, rng: &mut fastrand::Rng) -> Option<ServerIndex> {
-        self.used_us = Some(now_us);
-        let (open, count) = self.open(excluded, now_us);
-        let open = &open[..count];
-        if open.is_empty() {
+        self.last_pick_us = Some(now_us);
+        let (eligible, count) = self.eligible(excluded, now_us);
+        let eligible = &eligible[..count];
+        if eligible.is_empty() {
             return None;
         }
         Some(match self.policy {
-            Policy::Valetrack => self.least_expected(open, now_us, rng),
-            Policy::Random => open[rng.usize(..open.len())],
-            Policy::RoundRobin => self.next_in_turn(open),
-            Policy::LeastInFlight => self.least_in_flight(open, rng),
-            Policy::TwoChoices => self.two_choices(open, rng),
+            Policy::Valetrack => self.least_expected(eligible, now_us, rng),
+            Policy::Random => eligible[rng.usize(..eligible.len())],
+            Policy::RoundRobin => self.next_in_turn(eligible),
+            Policy::LeastInFlight => self.least_in_flight(eligible, rng),
+            Policy::TwoChoices => self.two_choices(eligible, rng),
         })
     }
 
     /// Returns the servers in rotation outside `excluded`, and their number. Nothing is allocated.
-    fn open(&self, excluded: ServerSet, now_us: u64) -> ([ServerIndex; MAX_SERVERS], usize) {
+    fn eligible(&self, excluded: ServerSet, now_us: u64) -> ([ServerIndex; MAX_SERVERS], usize) {
         let rotation = self.rotation(now_us);
-        let mut open = [0; MAX_SERVERS];
+        let mut eligible = [0; MAX_SERVERS];
         let mut count = 0;
         for server in 0..self.servers.len() {
             if rotation.contains(server) && !excluded.contains(server) {
-                open[count] = server;
+                eligible[count] = server;
                 count += 1;
             }
         }
-        (open, count)
+        (eligible, count)
     }
 
     /// Returns the expected time of a call sent now.
     pub fn expected_us(&self, server: ServerIndex, now_us: u64) -> f64 {
         let view = &self.servers[server];
-        let (load, age_us) = match view.seen {
-            Some(seen) => (seen.load, now_us.saturating_sub(seen.seen_us)),
-            None => (LoadReport { limit: FIRST_LIMIT, service_us: FIRST_SERVICE_US, ..LoadReport::default() }, 0),
+        let (load, age_us) = match view.last_report {
+            Some(last_report) => (last_report.load, now_us.saturating_sub(last_report.received_us)),
+            None => (LoadReport { limit: ASSUMED_LIMIT, service_us: ASSUMED_SERVICE_US, ..LoadReport::default() }, 0),
         };
         let service_us = f64::from(load.service_us);
         let limit = f64::from(load.limit.max(1));
         let weight = 0.5_f64.powf(age_us as f64 / HALF_LIFE_US as f64);
         let own = f64::from(view.outstanding);
-        let busy = own + view.seen_others(&load) * weight;
+        let busy = own + view.reported_others(&load) * weight;
         let wait_us = wait_us(busy, limit, service_us);
         let spread_us = service_us * busy / limit;
         let stall_us = if load.stalled { STALL_PENALTY_US * weight } else { 0.0 };
-        let failure_us = view.failure_share * FAILURE_WEIGHT * service_us.max(f64::from(FIRST_SERVICE_US));
+        let failure_us = view.failure_share * FAILURE_WEIGHT * service_us.max(f64::from(ASSUMED_SERVICE_US));
         f64::from(view.network_us) + service_us + wait_us + spread_us + stall_us + failure_us
     }
 
-    fn least_expected(&self, open: &[ServerIndex], now_us: u64, rng: &mut fastrand::Rng) -> ServerIndex {
+    fn least_expected(&self, eligible: &[ServerIndex], now_us: u64, rng: &mut fastrand::Rng) -> ServerIndex {
         let mut scores = [0.0; MAX_SERVERS];
         let mut best = f64::INFINITY;
-        for (at, &server) in open.iter().enumerate() {
+        for (at, &server) in eligible.iter().enumerate() {
             scores[at] = self.expected_us(server, now_us);
             best = best.min(scores[at]);
         }
-        let near = best * (1.0 + TIE_SHARE);
-        pick_where(open, rng, |at| scores[at] <= near)
+        let tie_limit = best * (1.0 + TIE_SHARE);
+        pick_where(eligible, rng, |at| scores[at] <= tie_limit)
     }
 
-    fn next_in_turn(&mut self, open: &[ServerIndex]) -> ServerIndex {
+    fn next_in_turn(&mut self, eligible: &[ServerIndex]) -> ServerIndex {
         self.turn = self.turn.wrapping_add(1);
-        open[self.turn % open.len()]
+        eligible[self.turn % eligible.len()]
     }
 
-    fn least_in_flight(&self, open: &[ServerIndex], rng: &mut fastrand::Rng) -> ServerIndex {
-        let least = open.iter().map(|&server| self.servers[server].outstanding).min().unwrap_or(0);
-        pick_where(open, rng, |at| self.servers[open[at]].outstanding == least)
+    fn least_in_flight(&self, eligible: &[ServerIndex], rng: &mut fastrand::Rng) -> ServerIndex {
+        let least = eligible.iter().map(|&server| self.servers[server].outstanding).min().unwrap_or(0);
+        pick_where(eligible, rng, |at| self.servers[eligible[at]].outstanding == least)
     }
 
-    fn two_choices(&self, open: &[ServerIndex], rng: &mut fastrand::Rng) -> ServerIndex {
-        let first = open[rng.usize(..open.len())];
-        let second = open[rng.usize(..open.len())];
+    fn two_choices(&self, eligible: &[ServerIndex], rng: &mut fastrand::Rng) -> ServerIndex {
+        let first = eligible[rng.usize(..eligible.len())];
+        let second = eligible[rng.usize(..eligible.len())];
         let reported = |server: ServerIndex| {
-            self.servers[server].seen.map_or(0, |seen| u32::from(seen.load.in_flight) + u32::from(seen.load.queued))
+            self.servers[server]
+                .last_report
+                .map_or(0, |last_report| u32::from(last_report.load.in_flight) + u32::from(last_report.load.queued))
         };
         if reported(second) < reported(first) { second } else { first }
     }
@@ -432,8 +439,8 @@
 }
 
 /// Picks uniformly among the positions for which `fits` holds; at least one must.
-fn pick_where(open: &[ServerIndex], rng: &mut fastrand::Rng, fits: impl Fn(usize) -> bool) -> ServerIndex {
-    let count = (0..open.len()).filter(|&at| fits(at)).count();
+fn pick_where(eligible: &[ServerIndex], rng: &mut fastrand::Rng, fits: impl Fn(usize) -> bool) -> ServerIndex {
+    let count = (0..eligible.len()).filter(|&at| fits(at)).count();
     let chosen = rng.usize(..count.max(1));
-    (0..open.len()).filter(|&at| fits(at)).nth(chosen).map_or(open[0], |at| open[at])
+    (0..eligible.len()).filter(|&at| fits(at)).nth(chosen).map_or(eligible[0], |at| eligible[at])
 }
--- a/valetrack/src/placement/waited.rs
+++ b/valetrack/src/placement/waited.rs
@@ -13,7 +13,7 @@
 const CALLS_MIN: u32 = 10;
 /// A time limit below the usual one by at most this share may be the first one of an impatient caller: the limits of
 /// callers of one kind differ by up to a seventh.
-const UNSURE_SHARE: f64 = 0.12;
+const LIMIT_VARIATION_SHARE: f64 = 0.12;
 
 /// Usual time limit of the callers of one route, learned by one entry.
 #[derive(Debug, Clone, Copy, Default)]
@@ -23,11 +23,11 @@
 
 impl CallerTime {
     /// Records the time limit that a caller sends, and returns how much time has probably passed since its first call.
-    pub fn waited_ms(&mut self, given_ms: u32) -> u32 {
-        let given = f64::from(given_ms);
-        self.usual_ms.take(given, &RULE);
+    pub fn waited_ms(&mut self, limit_ms: u32) -> u32 {
+        let limit = f64::from(limit_ms);
+        self.usual_ms.record(limit, &RULE);
         let Quantile { value: usual, count } = self.usual_ms;
-        let short = usual - given;
-        if count > CALLS_MIN && short > usual * UNSURE_SHARE { short as u32 } else { 0 }
+        let short = usual - limit;
+        if count > CALLS_MIN && short > usual * LIMIT_VARIATION_SHARE { short as u32 } else { 0 }
     }
 }
