--- a/valetrack/src/placement/tests.rs
+++ b/valetrack/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of placement: a call among lossy links, budgets, and the pick.
+//! Tests of placement: calls over links that lose messages, budgets and server selection.
 
 mod budget;
 mod call;
--- a/valetrack/src/placement/tests/budget.rs
+++ b/valetrack/src/placement/tests/budget.rs
@@ -1,10 +1,10 @@
-//! Budgets hold in every window, whatever arrives.
+//! Budgets hold in every window, in any order of calls and repeats.
 
 use proptest::prelude::*;
 
 use crate::placement::{FleetSize, RateBudget, RepeatBudget, RepeatPromise};
 
-/// Window of the budgets under test, in microseconds.
+/// Window of the budgets under test.
 const WINDOW_US: u64 = 10_000_000;
 
 proptest! {
@@ -16,7 +16,7 @@
     })]
 
     #[test]
-    fn no_window_costs_more_than_its_rate_and_burst(
+    fn no_window_exceeds_rate_and_burst(
         rate_per_s in 0..5_000u64,
         burst in 0..5_000u64,
         asks in prop::collection::vec((0..400_000u64, 0..2_000u64, any::<bool>()), 1..120),
@@ -25,7 +25,7 @@
         let mut now_us = 0u64;
         let mut granted: Vec<(u64, u64)> = Vec::new();
         for (pause_us, cost, back) in asks {
-            // A clock that goes back for once must earn nothing.
+            // A clock that goes back once must not add tokens.
             let asked_us = if back { now_us.saturating_sub(pause_us) } else { now_us + pause_us };
             now_us = now_us.max(asked_us);
             if budget.take(cost, asked_us) {
@@ -44,7 +44,7 @@
     }
 
     #[test]
-    fn extra_attempts_stay_within_their_share(percent in 0..100u32, calls in 1..3_000u32) {
+    fn repeats_stay_within_share_and_reserve(percent in 0..100u32, calls in 1..3_000u32) {
         let mut budget = RepeatBudget::new(percent, 20);
         let mut extra = 0;
         for _ in 0..calls {
@@ -55,7 +55,7 @@
     }
 
     #[test]
-    fn repeats_of_every_window_stay_within_its_calls_and_the_reserve(
+    fn repeats_in_every_window_stay_within_budget(
         percent in 0..100u32,
         reserve in 0..60u32,
         members in 1..20u32,
@@ -79,14 +79,14 @@
             }
             let lately = |times: &[u64]| times.iter().filter(|&&at_us| at_us + WINDOW_US > now_us).count() as f64;
             let allowed = lately(&calls) * f64::from(percent) / 100.0 + f64::from(reserve) / f64::from(members);
-            // Sums of fractions are rounded in the last places.
+            // Sums of fractions have rounding errors in the last digits.
             prop_assert!(lately(&repeats) <= allowed + 1e-3, "{} of {allowed}", lately(&repeats));
         }
     }
 }
 
 #[test]
-fn a_new_rate_keeps_no_more_than_the_new_burst() {
+fn new_rate_keeps_at_most_the_new_burst() {
     let mut budget = RateBudget::new(1_000, 1_000, 0);
     budget.configure(10, 10, 0);
     assert!(!budget.take(11, 0));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_node_that_starts_again_gets_to_its_part_of_the_reserve_over_a_window() {
+fn reserve_of_restarted_node_grows_over_one_window() {
     let guarantee = RepeatPromise { percent: 0, reserve: 100, window_us: WINDOW_US };
     let spent_until = |age_us: u64| {
         let mut budget = RepeatBudget::of_fleet(guarantee, 5_000_000);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_node_that_has_just_started_and_knows_nobody_spends_no_reserve() {
+fn new_node_without_known_members_spends_no_reserve() {
     let guarantee = RepeatPromise { percent: 0, reserve: 100, window_us: WINDOW_US };
     let mut budget = RepeatBudget::of_fleet(guarantee, 0);
     budget.configure(guarantee, 1);
@@ -114,11 +114,11 @@
 }
 
 #[test]
-fn nothing_is_saved_up_from_one_window_to_the_next() {
+fn unused_repeats_are_not_carried_to_next_window() {
     let mut budget = RepeatBudget::new(10, 0);
     (0..100).for_each(|_| budget.begin(0.0, 0));
     assert!(budget.take(WINDOW_US / 2));
-    assert!(!budget.take(WINDOW_US * 3 / 2), "the calls of an earlier window pay for this one");
+    assert!(!budget.take(WINDOW_US * 3 / 2), "calls of an earlier window earn repeats in this one");
 }
 
 #[test]
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_large_fleet_spends_its_share_where_its_part_of_the_reserve_is_less_than_one() {
+fn large_fleet_spends_share_with_fractional_reserve() {
     let guarantee = RepeatPromise { percent: 20, reserve: 58, window_us: WINDOW_US };
     let mut budget = RepeatBudget::of_fleet(guarantee, 0);
     budget.configure(guarantee, 12_000);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn entries_that_lapse_for_a_while_do_not_make_the_fleet_smaller() {
+fn short_member_loss_does_not_shrink_fleet() {
     let mut fleet = FleetSize::default();
     let known = [(1, 0), (13, 200_000), (2, 10_000_000), (13, 30_000_000), (5, 40_000_000), (5, 101_000_000)];
     let shared: Vec<u32> = known.into_iter().map(|(members, at_us)| fleet.update(members, at_us)).collect();
@@ -149,6 +149,6 @@
 }
 
 #[test]
-fn a_budget_takes_as_much_memory_as_the_page_of_capacity_says() {
+fn retry_budget_size_matches_capacity_page() {
     assert_eq!(size_of::<RepeatBudget>(), 256);
 }
--- a/valetrack/src/placement/tests/crowding.rs
+++ b/valetrack/src/placement/tests/crowding.rs
@@ -1,4 +1,4 @@
-//! How many owners are asked where a service is full.
+//! Limit of declines by the share of full owners.
 
 use test_case::test_case;
 
@@ -8,15 +8,15 @@
 #[test_case(10, 3; "one in ten is full")]
 #[test_case(50, 1; "half are full")]
 #[test_case(100, 0; "all are full")]
-fn the_fuller_a_service_the_fewer_owners_are_asked(full_percent: u64, expected: u8) {
+fn fuller_services_allow_fewer_declines(full_percent: u64, expected: u8) {
     let mut crowding = Crowding::default();
-    // Evenly mixed, a millisecond apart.
+    // Full and free owners are evenly mixed, with an attempt each millisecond.
     (1..=500).for_each(|at| crowding.record((at * full_percent) % 100 < full_percent, at * 1_000));
     assert_eq!(crowding.allowed_declines(4, 500_000), expected);
 }
 
 #[test]
-fn a_service_that_was_full_is_asked_again_after_a_while() {
+fn allowed_declines_recover_over_time() {
     let mut crowding = Crowding::default();
     (0..50).for_each(|at| crowding.record(true, at * 1_000));
     assert_eq!(crowding.allowed_declines(4, 50_000), 0);
--- a/valetrack/src/placement/tests/fleet.rs
+++ b/valetrack/src/placement/tests/fleet.rs
@@ -1,17 +1,14 @@
-//! A fleet in virtual time, whose upstreams count what arrives.
+//! A fleet in virtual time whose upstreams count the arriving repeats.
 //!
-//! What users saw: a service that rejected half of its calls got more arrivals past the first of
-//! their call than the fleet promises, 450 in ten seconds where 439 were allowed. One call of an
-//! upstream of another service reached five upstreams, each of which rejected it, and ended refused.
-//! The order of events: bursts filled both services, upstreams rejected, entries went on to the next
-//! one; meanwhile two machines started again.
-//! The cause: arrivals that no budget paid for. A send that its upstream rejected cost nothing; nor
-//! did one whose rejection was lost with its link, a call that a repeated run makes, or what a node
-//! spent that had just started again.
-//! The evidence: where a rejected send costs nothing, the first case counts 1,249 repeats of 1,200
-//! calls where 298 are allowed. Where that one is paid for and the others are not, the cases of lost
-//! rejections, of nested calls and of nodes that started again count 356 (298 allowed), 796 (777)
-//! and 245 (178).
+//! Guards against repeats that are charged to no budget. A service that rejected half of its calls received 450 repeats
+//! in ten seconds where 439 were allowed, and a nested call reached five upstreams, each of which rejected it, and was
+//! refused in the end. Bursts had filled both services, upstreams rejected calls, entries went on to the next upstream,
+//! and two machines restarted meanwhile. Not charged were an attempt that its upstream rejected, one whose rejection
+//! was lost with its link, a call made by a repeated run, and the repeats of a node that had just restarted.
+//!
+//! Without a charge for rejected attempts, the first case counts 1,249 repeats of 1,200 calls where 298 are allowed.
+//! With that charge alone, the cases of lost rejections, nested calls and restarted nodes count 356 (298 allowed), 796
+//! (777) and 245 (178).
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -32,65 +29,64 @@
 const FRONT: usize = 0;
 /// The service that runs of the other one call.
 const BACK: usize = 1;
-/// Upstreams of each service; those of the first stand beside the first VMs.
+/// Upstreams of each service; those of the first service run beside the first VMs.
 const UPSTREAMS: [usize; 2] = [4, 3];
-/// What the fleet promises: repeats for each hundred calls, and beyond that, in any window.
-const PROMISE: RepeatPromise = RepeatPromise { percent: 20, reserve: 58, window_us: 10_000_000 };
-/// Time on the way between two nodes, and that of a run, in microseconds.
-const WAY_US: u64 = 1_000;
+/// The fleet's guarantee: repeats per hundred calls, and repeats beyond that in any window.
+const GUARANTEE: RepeatPromise = RepeatPromise { percent: 20, reserve: 58, window_us: 10_000_000 };
+/// Latency between two nodes, and duration of a run.
+const LATENCY_US: u64 = 1_000;
 const RUN_US: u64 = 60_000;
-/// How long callers come, in microseconds.
-const DAY_US: u64 = 26_000_000;
+/// Time during which callers call.
+const LOAD_US: u64 = 26_000_000;
 
-/// The troubles of one run of the fleet.
+/// Faults and load of one simulated run of the fleet.
 #[derive(Debug, Clone, Copy)]
-struct Trouble {
-    /// Calls of callers a second, to each service.
+struct Faults {
+    /// Calls of callers per second, to each service.
     rate_per_s: [u64; 2],
     /// Calls that a run of the first service makes to the second one.
     nested: u8,
-    /// Arrivals that upstreams reject, in hundredths.
+    /// Share of arrivals that upstreams reject.
     rejected_percent: [u8; 2],
-    /// Runs that fail, in hundredths.
+    /// Share of runs that fail.
     failing_percent: [u8; 2],
-    /// Answers and rejections that are lost with their link, in hundredths.
+    /// Share of answers and rejections that are lost with their link.
     lost_percent: u8,
-    /// Pause between two starts of nodes anew, one VM after the other, in microseconds; none where
-    /// they stay up.
-    restart_each_us: Option<u64>,
-    /// Time after a start for which a node knows no other one, in microseconds.
-    alone_us: u64,
+    /// Interval between restarts of nodes, one VM after the other; none if nodes do not restart.
+    restart_interval_us: Option<u64>,
+    /// Time after a restart for which a node has no record of other nodes.
+    members_delay_us: u64,
 }
 
-const CALM: Trouble = Trouble {
+const NO_FAULTS: Faults = Faults {
     rate_per_s: [60, 20],
     nested: 1,
     rejected_percent: [0, 0],
     failing_percent: [0, 0],
     lost_percent: 0,
-    restart_each_us: None,
-    alone_us: 0,
+    restart_interval_us: None,
+    members_delay_us: 0,
 };
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum FleetEvent {
     /// A caller or a run of the upstream beside a VM calls a service.
-    Begins { vm: usize, service: usize, caller: Caller },
+    CallBegins { vm: usize, service: usize, caller: Caller },
     /// An attempt reaches its owner.
-    Reaches { call: usize, attempt: AttemptId, server: ServerIndex, repeat_permille: u16 },
+    AttemptArrives { call: usize, attempt: AttemptId, server: ServerIndex, repeat_permille: u16 },
     /// A run ends.
-    Ends { vm: usize, life: u32, repeat_permille: u16 },
-    /// The owner's word on an attempt is wanted.
-    Asked { call: usize, attempt: AttemptId },
-    /// A call is told of something.
-    Told { call: usize, news: News },
-    /// A node ends and starts again.
-    Restarts { vm: usize },
-    /// A node has heard of the whole fleet.
-    Joined { vm: usize, life: u32 },
+    RunEnds { vm: usize, incarnation: u32, repeat_permille: u16 },
+    /// The owner receives a cancel of an attempt.
+    CancelArrives { call: usize, attempt: AttemptId },
+    /// A call receives an event.
+    EventArrives { call: usize, report: Report },
+    /// A node stops and starts again.
+    NodeRestarts { vm: usize },
+    /// A node has received the whole list of members.
+    MembersReceived { vm: usize, incarnation: u32 },
 }
 
-/// Who makes a call.
+/// Origin of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Caller {
     Outside,
@@ -100,9 +96,9 @@
     },
 }
 
-/// What calls are told of, in a form that can be ordered.
+/// Events of calls, in a form that can be ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum News {
+enum Report {
     Answered { attempt: AttemptId, healthy: bool },
     Rejected { attempt: AttemptId },
     RepeatRefused { attempt: AttemptId },
@@ -111,7 +107,7 @@
     HedgeDue,
 }
 
-impl News {
+impl Report {
     fn event(self) -> CallEvent {
         match self {
             Self::Answered { attempt, healthy } => CallEvent::Ran { attempt, healthy },
@@ -130,29 +126,29 @@
 struct Entry {
     views: [ServiceView; 2],
     budgets: [Budgets; 2],
-    /// What the upstream beside it runs and calls.
+    /// Runs of the upstream beside the entry, and the calls that it makes during them.
     nested: NestedCalls,
-    life: u32,
+    incarnation: u32,
 }
 
 impl Entry {
-    fn new(life: u32, now_us: u64) -> Self {
+    fn new(incarnation: u32, now_us: u64) -> Self {
         let view = |service: usize| {
             let mut view = ServiceView::new(Policy::Valetrack);
             (0..UPSTREAMS[service]).for_each(|server| view.set_present(server, true, 0));
             view
         };
-        let budgets = [Budgets::of_fleet(PROMISE, now_us), Budgets::of_fleet(PROMISE, now_us)];
-        Self { views: [view(FRONT), view(BACK)], budgets, nested: NestedCalls::default(), life }
+        let budgets = [Budgets::of_fleet(GUARANTEE, now_us), Budgets::of_fleet(GUARANTEE, now_us)];
+        Self { views: [view(FRONT), view(BACK)], budgets, nested: NestedCalls::default(), incarnation }
     }
 
-    fn knows(&mut self, members: u32) {
+    fn set_members(&mut self, members: u32) {
         for budgets in &mut self.budgets {
-            budgets.retry.configure(PROMISE, members);
+            budgets.retry.configure(GUARANTEE, members);
         }
     }
 
-    /// Returns whether a repeated run of the upstream beside it may start.
+    /// Returns whether a repeated run of the upstream beside the entry may start.
     fn admits_repeat(&mut self, now_us: u64) -> bool {
         let back = &mut self.budgets[BACK].retry;
         self.nested.admits_repeat(|_| back.left(now_us), now_us)
@@ -162,36 +158,36 @@
 struct FleetCall {
     call: Call,
     vm: usize,
-    life: u32,
+    incarnation: u32,
     service: usize,
     caller: Caller,
-    /// Whether an attempt of it has reached an upstream.
+    /// Whether an attempt of the call has reached an upstream.
     arrived: bool,
-    /// Attempts that upstreams have rejected, as their owners know.
+    /// Attempts that upstreams have rejected, as recorded by their owners.
     rejected: Vec<AttemptId>,
 }
 
 struct Fleet {
-    trouble: Trouble,
+    faults: Faults,
     now_us: u64,
-    happenings: BinaryHeap<Reverse<(u64, u64, Happening)>>,
+    fleet_events: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     scheduled: u64,
     entries: Vec<Entry>,
     calls: Vec<FleetCall>,
     rng: fastrand::Rng,
     next_seq: u64,
-    /// When calls that are no repeats themselves began, by service.
+    /// Start times of calls that are not repeats themselves, by service.
     began_us: [Vec<u64>; 2],
-    /// When attempts past the first of their call arrived, by service.
+    /// Arrival times of repeats, by service.
     repeats_us: [Vec<u64>; 2],
 }
 
 impl Fleet {
-    fn play(trouble: Trouble, seed: u64) -> Self {
+    fn run(faults: Faults, seed: u64) -> Self {
         let mut fleet = Self {
-            trouble,
+            faults,
             now_us: 0,
-            happenings: BinaryHeap::new(),
+            fleet_events: BinaryHeap::new(),
             scheduled: 0,
             entries: (0..VMS).map(|_| Entry::new(0, 0)).collect(),
             calls: Vec::new(),
@@ -200,68 +196,73 @@
             began_us: [Vec::new(), Vec::new()],
             repeats_us: [Vec::new(), Vec::new()],
         };
-        fleet.entries.iter_mut().for_each(|entry| entry.knows(VMS as u32));
+        fleet.entries.iter_mut().for_each(|entry| entry.set_members(VMS as u32));
         fleet.schedule();
-        while let Some(Reverse((at_us, _, happening))) = fleet.happenings.pop() {
+        while let Some(Reverse((at_us, _, fleet_event))) = fleet.fleet_events.pop() {
             fleet.now_us = at_us;
-            fleet.happen(happening);
+            fleet.handle_fleet_event(fleet_event);
         }
         fleet
     }
 
     fn schedule(&mut self) {
         for service in [FRONT, BACK] {
-            let rate_per_s = self.trouble.rate_per_s[service];
-            for number in 0..rate_per_s * DAY_US / 1_000_000 {
+            let rate_per_s = self.faults.rate_per_s[service];
+            for number in 0..rate_per_s * LOAD_US / 1_000_000 {
                 let vm = self.rng.usize(..VMS);
                 let at_us = number * 1_000_000 / rate_per_s + self.rng.u64(..1_000);
-                self.at(at_us, Happening::Begins { vm, service, caller: Caller::Outside });
+                self.at(at_us, FleetEvent::CallBegins { vm, service, caller: Caller::Outside });
             }
         }
-        let Some(pause_us) = self.trouble.restart_each_us else {
+        let Some(pause_us) = self.faults.restart_interval_us else {
             return;
         };
-        for number in 0..DAY_US / pause_us {
-            self.at(number * pause_us, Happening::Restarts { vm: number as usize % VMS });
+        for number in 0..LOAD_US / pause_us {
+            self.at(number * pause_us, FleetEvent::NodeRestarts { vm: number as usize % VMS });
         }
     }
 
-    fn at(&mut self, at_us: u64, happening: Happening) {
+    fn at(&mut self, at_us: u64, fleet_event: FleetEvent) {
         self.scheduled += 1;
-        self.happenings.push(Reverse((at_us, self.scheduled, happening)));
+        self.fleet_events.push(Reverse((at_us, self.scheduled, fleet_event)));
     }
 
-    fn later(&mut self, after_us: u64, happening: Happening) {
-        self.at(self.now_us + after_us, happening);
+    fn later(&mut self, after_us: u64, fleet_event: FleetEvent) {
+        self.at(self.now_us + after_us, fleet_event);
     }
 
     fn chance(&mut self, percent: u8) -> bool {
         self.rng.u8(..100) < percent
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Begins { vm, service, caller } => self.begin(vm, service, caller),
-            Happening::Reaches { call, attempt, server, repeat_permille } => {
+    fn handle_fleet_event(&mut self, fleet_event: FleetEvent) {
+        match fleet_event {
+            FleetEvent::CallBegins { vm, service, caller } => self.begin(vm, service, caller),
+            FleetEvent::AttemptArrives { call, attempt, server, repeat_permille } => {
                 self.reach(call, attempt, server, repeat_permille);
             }
-            Happening::Ends { vm, life, repeat_permille } if self.entries[vm].life == life => {
+            FleetEvent::RunEnds { vm, incarnation, repeat_permille } if self.entries[vm].incarnation == incarnation => {
                 self.entries[vm].nested.run_ended(repeat_permille);
             }
-            Happening::Ends { .. } => {}
-            Happening::Asked { call, attempt } => {
+            FleetEvent::RunEnds { .. } => {}
+            FleetEvent::CancelArrives { call, attempt } => {
                 let rejected = self.calls[call].rejected.contains(&attempt);
-                self.later(WAY_US, Happening::Told { call, news: News::Cancelled { attempt, rejected } });
+                self.later(
+                    LATENCY_US,
+                    FleetEvent::EventArrives { call, report: Report::Cancelled { attempt, rejected } },
+                );
+            }
+            FleetEvent::EventArrives { call, report } => self.handle_call_event(call, report.event()),
+            FleetEvent::NodeRestarts { vm } => {
+                let incarnation = self.entries[vm].incarnation + 1;
+                self.entries[vm] = Entry::new(incarnation, self.now_us);
+                self.entries[vm].set_members(1);
+                self.later(self.faults.members_delay_us, FleetEvent::MembersReceived { vm, incarnation });
             }
-            Happening::Told { call, news } => self.tell(call, news.event()),
-            Happening::Restarts { vm } => {
-                let life = self.entries[vm].life + 1;
-                self.entries[vm] = Entry::new(life, self.now_us);
-                self.entries[vm].knows(1);
-                self.later(self.trouble.alone_us, Happening::Joined { vm, life });
+            FleetEvent::MembersReceived { vm, incarnation } if self.entries[vm].incarnation == incarnation => {
+                self.entries[vm].set_members(VMS as u32)
             }
-            Happening::Joined { vm, life } if self.entries[vm].life == life => self.entries[vm].knows(VMS as u32),
-            Happening::Joined { .. } => {}
+            FleetEvent::MembersReceived { .. } => {}
         }
     }
 
@@ -275,17 +276,17 @@
         };
         let demand = Some(Demand { work_us: RUN_US as u32, left_us: 400_000 });
         let rule = CallRule { repeatable: true, bounces: 4, retries: 1, hedge_after_percent: None, demand };
-        let life = self.entries[vm].life;
+        let incarnation = self.entries[vm].incarnation;
         let call = Call::new(rule, 1).made_by_repeat(repeat_permille);
-        self.calls.push(FleetCall { call, vm, life, service, caller, arrived: false, rejected: Vec::new() });
-        self.tell(self.calls.len() - 1, CallEvent::Begin);
+        self.calls.push(FleetCall { call, vm, incarnation, service, caller, arrived: false, rejected: Vec::new() });
+        self.handle_call_event(self.calls.len() - 1, CallEvent::Begin);
     }
 
-    fn tell(&mut self, number: usize, event: CallEvent) {
-        let FleetCall { call, vm, life, service, .. } = &mut self.calls[number];
+    fn handle_call_event(&mut self, number: usize, event: CallEvent) {
+        let FleetCall { call, vm, incarnation, service, .. } = &mut self.calls[number];
         let entry = &mut self.entries[*vm];
-        if entry.life != *life {
-            // Its entry has ended, and the call with it.
+        if entry.incarnation != *incarnation {
+            // The entry of the call has stopped, and the call with it.
             return;
         }
         let mut actions = Vec::new();
@@ -300,11 +301,16 @@
         for action in actions {
             match action {
                 CallAction::Send(Dispatch { attempt, server, repeat_permille, .. }) => {
-                    self.later(WAY_US, Happening::Reaches { call: number, attempt, server, repeat_permille });
+                    self.later(
+                        LATENCY_US,
+                        FleetEvent::AttemptArrives { call: number, attempt, server, repeat_permille },
+                    );
+                }
+                CallAction::Cancel { attempt, .. } => {
+                    self.later(LATENCY_US, FleetEvent::CancelArrives { call: number, attempt })
                 }
-                CallAction::Cancel { attempt, .. } => self.later(WAY_US, Happening::Asked { call: number, attempt }),
                 CallAction::ArmHedge { after_us } => {
-                    self.later(after_us, Happening::Told { call: number, news: News::HedgeDue });
+                    self.later(after_us, FleetEvent::EventArrives { call: number, report: Report::HedgeDue });
                 }
                 CallAction::Finish(_) => {}
             }
@@ -313,9 +319,9 @@
 
     fn reach(&mut self, number: usize, attempt: AttemptId, server: ServerIndex, repeat_permille: u16) {
         let FleetCall { service, caller, arrived, .. } = self.calls[number];
-        let told = |news| Happening::Told { call: number, news };
+        let report_to_call = |report| FleetEvent::EventArrives { call: number, report };
         if service == FRONT && repeat_permille == 1_000 && !self.entries[server].admits_repeat(self.now_us) {
-            self.later(WAY_US, told(News::RepeatRefused { attempt }));
+            self.later(LATENCY_US, report_to_call(Report::RepeatRefused { attempt }));
             return;
         }
         let repeat = caller == (Caller::Run { repeat: true }) || arrived;
@@ -323,76 +329,87 @@
         if repeat {
             self.repeats_us[service].push(self.now_us);
         }
-        let lost = self.chance(self.trouble.lost_percent);
-        if self.chance(self.trouble.rejected_percent[service]) {
+        let lost = self.chance(self.faults.lost_percent);
+        if self.chance(self.faults.rejected_percent[service]) {
             self.calls[number].rejected.push(attempt);
-            let news = if lost { News::Broken { attempt } } else { News::Rejected { attempt } };
-            self.later(WAY_US, told(news));
+            let report = if lost { Report::Broken { attempt } } else { Report::Rejected { attempt } };
+            self.later(LATENCY_US, report_to_call(report));
             return;
         }
         if service == FRONT {
-            let life = self.entries[server].life;
+            let incarnation = self.entries[server].incarnation;
             self.entries[server].nested.run_began(repeat_permille, self.now_us);
-            self.later(RUN_US, Happening::Ends { vm: server, life, repeat_permille });
-            for _ in 0..self.trouble.nested {
+            self.later(RUN_US, FleetEvent::RunEnds { vm: server, incarnation, repeat_permille });
+            for _ in 0..self.faults.nested {
                 let after_us = self.rng.u64(..RUN_US);
-                self.later(after_us, Happening::Begins { vm: server, service: BACK, caller: Caller::Run { repeat } });
+                self.later(
+                    after_us,
+                    FleetEvent::CallBegins { vm: server, service: BACK, caller: Caller::Run { repeat } },
+                );
             }
         }
-        let healthy = !self.chance(self.trouble.failing_percent[service]);
-        let news = if lost { News::Broken { attempt } } else { News::Answered { attempt, healthy } };
-        self.later(RUN_US + WAY_US, told(news));
+        let healthy = !self.chance(self.faults.failing_percent[service]);
+        let report = if lost { Report::Broken { attempt } } else { Report::Answered { attempt, healthy } };
+        self.later(RUN_US + LATENCY_US, report_to_call(report));
     }
 
-    /// Returns the first window with more repeats at a service than promised.
-    fn broken_promise(&self) -> Option<String> {
-        [FRONT, BACK].into_iter().find_map(|service| self.broken_promise_of(service))
+    /// Returns a description of the first window with more repeats at a service than the guarantee allows.
+    fn violation(&self) -> Option<String> {
+        [FRONT, BACK].into_iter().find_map(|service| self.violation_at(service))
     }
 
-    fn broken_promise_of(&self, service: usize) -> Option<String> {
+    fn violation_at(&self, service: usize) -> Option<String> {
         let within = |times: &[u64], from_us: u64| {
-            let until_us = from_us + PROMISE.window_us;
+            let until_us = from_us + GUARANTEE.window_us;
             times.iter().filter(|at_us| (from_us..until_us).contains(at_us)).count()
         };
         self.repeats_us[service].iter().step_by(5).find_map(|&from_us| {
             let repeats = within(&self.repeats_us[service], from_us);
             let windows =
-                [from_us, from_us.saturating_sub(PROMISE.window_us / 2), from_us.saturating_sub(PROMISE.window_us)];
+                [from_us, from_us.saturating_sub(GUARANTEE.window_us / 2), from_us.saturating_sub(GUARANTEE.window_us)];
             let calls = windows.into_iter().map(|from_us| within(&self.began_us[service], from_us)).max()?;
-            let allowed = calls * PROMISE.percent as usize / 100 + PROMISE.reserve as usize;
+            let allowed = calls * GUARANTEE.percent as usize / 100 + GUARANTEE.reserve as usize;
             (repeats > allowed)
                 .then(|| format!("service {service} from {from_us} us: {repeats} of {calls} calls, allowed {allowed}"))
         })
     }
 }
 
-#[test_case(Trouble { rate_per_s: [120, 60], rejected_percent: [50, 50], ..CALM }; "both services reject half of what arrives")]
-#[test_case(Trouble { rejected_percent: [0, 100], ..CALM }; "one service rejects everything")]
-#[test_case(Trouble { failing_percent: [60, 60], ..CALM }; "runs fail")]
-#[test_case(Trouble { rate_per_s: [120, 60], rejected_percent: [50, 50], lost_percent: 30, ..CALM }; "rejections are lost with their link")]
-#[test_case(Trouble { rate_per_s: [120, 0], nested: 3, rejected_percent: [0, 50], failing_percent: [60, 0], ..CALM }; "repeated runs call a service that rejects")]
-#[test_case(Trouble { rate_per_s: [16, 0], nested: 5, failing_percent: [100, 0], ..CALM }; "repeated runs of a quiet service make many calls")]
-#[test_case(Trouble { rate_per_s: [12, 12], nested: 0, rejected_percent: [70, 70], restart_each_us: Some(300_000), ..CALM }; "nodes start again in a row")]
-#[test_case(Trouble { rate_per_s: [60, 60], nested: 0, rejected_percent: [70, 70], restart_each_us: Some(500_000), alone_us: 3_000_000, ..CALM }; "nodes that started again know nobody")]
-fn a_fleet_keeps_its_promise_on_repeats(trouble: Trouble) {
+#[test_case(Faults { rate_per_s: [120, 60], rejected_percent: [50, 50], ..NO_FAULTS }; "both services reject half of what arrives")]
+#[test_case(Faults { rejected_percent: [0, 100], ..NO_FAULTS }; "one service rejects everything")]
+#[test_case(Faults { failing_percent: [60, 60], ..NO_FAULTS }; "runs fail")]
+#[test_case(Faults { rate_per_s: [120, 60], rejected_percent: [50, 50], lost_percent: 30, ..NO_FAULTS }; "rejections are lost with their link")]
+#[test_case(Faults { rate_per_s: [120, 0], nested: 3, rejected_percent: [0, 50], failing_percent: [60, 0], ..NO_FAULTS }; "repeated runs call a service that rejects")]
+#[test_case(Faults { rate_per_s: [16, 0], nested: 5, failing_percent: [100, 0], ..NO_FAULTS }; "repeated runs of a quiet service make many calls")]
+#[test_case(Faults { rate_per_s: [12, 12], nested: 0, rejected_percent: [70, 70], restart_interval_us: Some(300_000), ..NO_FAULTS }; "nodes restart one after the other")]
+#[test_case(Faults { rate_per_s: [60, 60], nested: 0, rejected_percent: [70, 70], restart_interval_us: Some(500_000), members_delay_us: 3_000_000, ..NO_FAULTS }; "restarted nodes have no record of others")]
+fn fleet_keeps_retry_guarantee_under_single_faults(faults: Faults) {
     for seed in 1..=3 {
-        let fleet = Fleet::play(trouble, seed);
-        assert_eq!(fleet.broken_promise(), None, "seed {seed}");
+        let fleet = Fleet::run(faults, seed);
+        assert_eq!(fleet.violation(), None, "seed {seed}");
     }
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn faults() -> impl Strategy<Value = Faults> {
     let percents = || [0..=100u8, 0..=100u8];
     let restarts = prop::option::of(200_000..3_000_000u64);
     ([1..150u64, 0..150u64], 0..4u8, percents(), percents(), 0..60u8, restarts, 0..5_000_000u64).prop_map(
-        |(rate_per_s, nested, rejected_percent, failing_percent, lost_percent, restart_each_us, alone_us)| Trouble {
+        |(
+            rate_per_s,
+            nested,
+            rejected_percent,
+            failing_percent,
+            lost_percent,
+            restart_interval_us,
+            members_delay_us,
+        )| Faults {
             rate_per_s,
             nested,
             rejected_percent,
             failing_percent,
             lost_percent,
-            restart_each_us,
-            alone_us,
+            restart_interval_us,
+            members_delay_us,
         },
     )
 }
@@ -407,8 +424,8 @@
     })]
 
     #[test]
-    fn a_fleet_keeps_its_promise_under_any_mix_of_troubles(trouble in trouble(), seed in any::<u64>()) {
-        let fleet = Fleet::play(trouble, seed);
-        prop_assert_eq!(fleet.broken_promise(), None);
+    fn fleet_keeps_retry_guarantee_under_mixed_faults(faults in faults(), seed in any::<u64>()) {
+        let fleet = Fleet::run(faults, seed);
+        prop_assert_eq!(fleet.violation(), None);
     }
 }
--- a/valetrack/src/placement/tests/service.rs
+++ b/valetrack/src/placement/tests/service.rs
@@ -1,4 +1,4 @@
-//! Which servers of a large service an entry considers.
+//! Servers of a large service that an entry considers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use crate::member::Candidate;
 use crate::placement::service::{CONSIDERED_MAX, considered};
 
-/// Servers of one service over three failure domains.
+/// Returns servers of one service in three failure domains.
 fn servers(count: usize) -> Vec<Candidate> {
     let server = |at: usize| Candidate {
         vm: Arc::from(format!("vm-{at}")),
@@ -19,19 +19,19 @@
 }
 
 #[test]
-fn all_servers_of_a_small_service_are_considered() {
+fn all_servers_of_small_service_are_considered() {
     assert_eq!(considered(servers(CONSIDERED_MAX), "kranj", "vm-0"), servers(CONSIDERED_MAX));
 }
 
 #[test]
-fn the_own_failure_domain_goes_first() {
+fn servers_of_own_failure_domain_come_first() {
     let chosen = considered(servers(126), "kranj", "vm-0");
     assert_eq!(chosen.len(), CONSIDERED_MAX);
     assert_eq!(chosen.iter().filter(|server| &*server.domain == "kranj").count(), 42);
 }
 
 #[test]
-fn every_server_of_a_large_service_is_considered_by_some_entries() {
+fn every_server_of_large_service_is_considered() {
     let mut considering: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for entry in servers(300) {
         for server in considered(servers(300), &entry.domain, &entry.vm) {
@@ -39,7 +39,7 @@
         }
     }
     assert_eq!(considering.len(), 300);
-    // On average 56 do.
+    // The average is 56.
     let (least, most) = (considering.values().min(), considering.values().max());
     assert!(least.is_some_and(|&least| least > 28) && most.is_some_and(|&most| most < 112), "{least:?} {most:?}");
 }
--- a/valetrack/src/placement/tests/view.rs
+++ b/valetrack/src/placement/tests/view.rs
@@ -1,4 +1,4 @@
-//! Rotation and the pick.
+//! Rotation and server selection.
 
 use proptest::prelude::*;
 
@@ -22,13 +22,13 @@
     })]
 
     #[test]
-    fn at_least_half_stay_in_rotation(
+    fn at_least_half_of_servers_stay_in_rotation(
         servers in 1..MAX_SERVERS,
-        judgements in prop::collection::vec((any::<usize>(), any::<bool>(), 0..100_000u64), 0..600),
+        outcomes in prop::collection::vec((any::<usize>(), any::<bool>(), 0..100_000u64), 0..600),
     ) {
         let mut view = view(servers);
         let mut now_us = 0;
-        for (server, healthy, pause_us) in judgements {
+        for (server, healthy, pause_us) in outcomes {
             now_us += pause_us;
             view.record_health(server % servers, healthy, now_us);
             prop_assert!(view.rotation(now_us).len() * 2 >= servers);
@@ -36,7 +36,7 @@
     }
 
     #[test]
-    fn a_pick_is_in_rotation_and_not_excluded(
+    fn pick_is_in_rotation_and_not_excluded(
         servers in 1..8usize,
         excluded in prop::collection::vec(0..8usize, 0..6),
         leaving in 0..8usize,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_server_that_fails_at_once_is_ejected_and_comes_back() {
+fn failing_server_is_ejected_and_returns() {
     let mut view = view(4);
     for _ in 0..5 {
         view.record_health(1, false, 1_000);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_later_life_under_an_index_starts_anew() {
+fn new_incarnation_under_an_index_starts_fresh() {
     let mut view = view(2);
     view.set_leaving(0);
     view.set_present(0, false, 0);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn old_news_loses_its_weight() {
+fn old_load_report_loses_weight() {
     let mut view = view(1);
     let load = LoadReport { limit: 4, in_flight: 4, queued: 4, service_us: 2_000, ..LoadReport::default() };
     view.report(0, load, 0);
