--- a/valetrack/src/claim/entry.rs
+++ b/valetrack/src/claim/entry.rs
@@ -1,57 +1,57 @@
-//! Keys of a page in memory, and as the store's document has them.
+//! Keys of a page in memory, and their conversion from and to the page in the store.
 
-use super::message::{KeptAnswer, KeyDigest, PageEntry, PressId, Record};
+use super::message::{KeptAnswer, KeyDigest, KeyedCallId, PageEntry, Record};
 use crate::store::Position;
 
-/// How claims of a service are kept.
+/// Rules for the claims of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ClaimRule {
-    /// How long a key is remembered, in seconds.
+    /// How long a key is kept.
     pub lifetime_s: u64,
-    /// Whether to run on claims in memory while the store is away.
+    /// Whether calls run on claims in memory while the store is unavailable.
     pub held: bool,
     /// Most keys in one page.
     pub entries_max: usize,
 }
 
-/// Whether this node is the home, as far as it knows.
+/// Whether this node is the home of a page, as far as it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Hold {
     /// Another node may be the home.
-    Away,
+    NotHeld,
     /// The page is being read.
     Reading,
-    /// This node is the home, as of this position.
+    /// This node is the home as of this position.
     Held { position: Position },
-    /// A write on this position is under way.
-    Writing { expected: Position, purpose: Purpose, doubted: bool },
-    /// This node was the home, and a write of its own may or may not have taken effect.
-    Unsure,
-    /// Another node is the home, and its page may still lack what this node knows.
+    /// A write on this position is in flight.
+    Writing { expected: Position, purpose: Purpose, is_suspect: bool },
+    /// This node was the home, and the outcome of one of its writes is unknown.
+    Uncertain,
+    /// Another node is the home, and its page may lack keys that this node has recorded.
     Reporting,
 }
 
-/// What a page is written for.
+/// Purpose of writing a page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Purpose {
-    /// This node is the home and writes what it knows.
-    Keep,
-    /// This node leaves and names no home.
+    /// This node is the home and writes its records.
+    Update,
+    /// This node leaves and writes the page without a home.
     HandOver,
-    /// Another node is the home, and its page lacks what this node knows.
+    /// Another node is the home, and its page lacks keys that this node has recorded.
     Report,
 }
 
-/// What this node knows of a key.
+/// This node's record of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum State {
     /// Claimed in memory; no write with the claim is confirmed.
     Fresh,
-    /// The run is on.
+    /// The call is running.
     Running,
-    /// It ran.
+    /// The call ran.
     Finished(KeptAnswer),
-    /// It may have run.
+    /// The call may have run.
     Lost,
 }
 
@@ -61,40 +61,40 @@
     pub(super) call: u64,
     pub(super) claimed_s: u64,
     pub(super) state: State,
-    /// Presses that wait for the end.
-    pub(super) presses: Vec<PressId>,
+    /// Keyed calls that wait for the outcome.
+    pub(super) keyed_calls: Vec<KeyedCallId>,
 }
 
-/// A press as it came.
+/// A keyed call that waits to be decided.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Arrived {
-    pub(super) press: PressId,
+pub(super) struct Pending {
+    pub(super) id: KeyedCallId,
     pub(super) key: KeyDigest,
     pub(super) call: u64,
 }
 
 impl Entry {
-    /// Reads a key from a page; one that was claimed and not finished may have run.
+    /// Converts an entry of a page. A key that was claimed and not finished may have run.
     pub(super) fn read(entry: &PageEntry) -> Self {
         let state = match &entry.record {
             Record::Finished(answer) => State::Finished(answer.clone()),
             Record::Claimed | Record::Lost => State::Lost,
         };
-        Self { call: entry.call, claimed_s: entry.claimed_s, state, presses: Vec::new() }
+        Self { call: entry.call, claimed_s: entry.claimed_s, state, keyed_calls: Vec::new() }
     }
 
-    /// Returns the presses that wait for the end, as they came.
-    pub(super) fn into_arrived(self, key: KeyDigest) -> impl Iterator<Item = Arrived> {
+    /// Returns the keyed calls that wait for the outcome, to be decided again.
+    pub(super) fn into_pending(self, key: KeyDigest) -> impl Iterator<Item = Pending> {
         let call = self.call;
-        self.presses.into_iter().map(move |press| Arrived { press, key, call })
+        self.keyed_calls.into_iter().map(move |id| Pending { id, key, call })
     }
 
-    /// Returns whether anything may have started under this key.
+    /// Returns whether a call with this key may have started.
     pub(super) fn may_have_run(&self) -> bool {
         self.state != State::Fresh
     }
 
-    /// Returns what the page says of this key.
+    /// Returns the entry of this key for the page.
     pub(super) fn written(&self, key: KeyDigest) -> PageEntry {
         let record = match &self.state {
             State::Fresh | State::Running => Record::Claimed,
--- a/valetrack/src/claim/message.rs
+++ b/valetrack/src/claim/message.rs
@@ -1,4 +1,4 @@
-//! Messages of claims: the page in the store, presses, and what a home does.
+//! Messages of claims: the page in the store, keyed calls, and the events and actions of a home.
 
 use std::sync::Arc;
 
@@ -14,227 +14,221 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest(pub [u8; 16]);
 
-/// Names a caller's press while it waits at a home.
+/// Identifies a keyed call while it waits at a home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PressId(pub u64);
+pub struct KeyedCallId(pub u64);
 
-/// One life of a VM that may hold pages.
+/// An incarnation of a VM that may hold pages.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Home {
     /// Name of the VM.
     pub vm: Arc<str>,
-    /// Which life of it.
+    /// Incarnation of the VM.
     pub incarnation: u64,
 }
 
-/// An answer small enough to be kept for callers that press again.
+/// An answer that is kept for later calls with the same key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Headers that travel from end to end.
+    /// End-to-end headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body; none when it was too large to keep.
+    /// The body; `None` if it was too large to keep.
     pub body: Option<Vec<u8>>,
 }
 
-/// Largest body that is kept for callers that press again, in bytes.
+/// Largest body that is kept for later calls with the same key.
 pub const KEPT_BODY_MAX_BYTES: usize = 2_048;
 
 impl KeptAnswer {
-    /// Returns the answer without a body that is too large to keep.
+    /// Returns the answer without its body if the body is too large to keep.
     pub fn trimmed(&self) -> Self {
         let body = self.body.as_ref().filter(|body| body.len() <= KEPT_BODY_MAX_BYTES).cloned();
         Self { status: self.status, headers: self.headers.clone(), body }
     }
 }
 
-/// What a page says of a key.
+/// State of a key in a page.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
-    /// It was claimed, and may have run or run later.
+    /// The key was claimed. Its call may have run or may still run.
     Claimed,
-    /// It ran, with this answer.
+    /// The call ran and returned this answer.
     Finished(KeptAnswer),
-    /// It was claimed by a home that is over, and will never run again.
+    /// The key was claimed by a home that no longer exists. Its call may have run and will never run again.
     Lost,
 }
 
 /// One key of a page.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PageEntry {
-    /// The key.
     pub key: KeyDigest,
     /// Digest of the call that first used the key.
     pub call: u64,
-    /// When it was claimed, in seconds since 1970.
+    /// When the key was claimed, in seconds since 1970.
     pub claimed_s: u64,
-    /// What is known of it.
+    /// State of the key.
     pub record: Record,
 }
 
-/// The claims of one page of a service, as one value of the store.
+/// The claims of one page of a service, stored as one value.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Page {
-    /// Who decides on the page's keys; none after a hand-over.
+    /// The node that decides on the page's keys; `None` after a hand-over.
     pub home: Option<Home>,
-    /// How often the page changed its home.
+    /// How often the page changed its home or was written by another node.
     pub term: u64,
-    /// Whether its home may run on claims that the store has not seen.
+    /// Whether the home may run calls on claims that are not in the store yet.
     pub held: bool,
-    /// Until when a key that the page lacks may have run all the same, in seconds since 1970.
+    /// Until when a key that is missing in the page may have run all the same, in seconds since 1970.
     pub blind_until_s: u64,
-    /// The keys.
     pub entries: Vec<PageEntry>,
 }
 
-/// How a run of a claimed key ended.
+/// Outcome of the run of a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum RunEnd {
-    /// It ran.
+    /// The call ran.
     Ran(KeptAnswer),
-    /// No attempt of it started, and none will.
+    /// No attempt of the call started, and none will.
     NeverStarted {
-        /// Why.
+        /// Reason of the outcome.
         code: Code,
     },
-    /// It may have run.
+    /// The call may have run.
     Unknown {
-        /// Why.
+        /// Reason of the outcome.
         code: Code,
     },
 }
 
-/// What a home tells a caller that pressed.
+/// Reply of a home to a keyed call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum PressReply {
-    /// It ran; this is the answer.
+pub enum KeyedCallReply {
+    /// The call ran and returned this answer.
     Ran(KeptAnswer),
-    /// It did not run, under this press or any earlier one, and will not unless pressed again.
+    /// The call did not run, for this submission or an earlier one, and will not run unless it is submitted again.
     NotRun {
-        /// Why.
+        /// Reason of the outcome.
         code: Code,
     },
-    /// It may have run.
+    /// The call may have run.
     Unknown {
-        /// Why.
+        /// Reason of the outcome.
         code: Code,
     },
     /// Another node is the home.
     Moved {
-        /// That node.
+        /// The home of the page.
         home: Home,
     },
-    /// This node is not the home and does not know who is; nothing started here.
+    /// This node is not the home, and the home is unknown. Nothing started here.
     NotHome {
-        /// [`Code::Leaving`] when the page is about to be handed over, else why it is not known.
+        /// [`Code::Leaving`] if the page is about to be handed over, otherwise the reason why the home is unknown.
         code: Code,
     },
     /// The key was used for a different call.
     Reused,
 }
 
-/// Something that happened to a page at a node.
+/// Event of a page at a node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ClaimEvent {
-    /// A caller pressed.
-    Press {
-        /// Names this press.
-        press: PressId,
-        /// The key.
+    /// A keyed call was submitted.
+    KeyedCall {
+        /// Identifies the keyed call.
+        id: KeyedCallId,
         key: KeyDigest,
         /// Digest of the call.
         call: u64,
     },
-    /// The deadline of a press passed.
+    /// The deadline of a keyed call passed.
     Expire {
-        /// The press.
-        press: PressId,
+        /// Identifies the keyed call.
+        id: KeyedCallId,
     },
     /// A run ended.
     RunEnded {
-        /// The key.
         key: KeyDigest,
-        /// How.
+        /// Outcome of the run.
         end: RunEnd,
     },
     /// The page was read.
     Read {
-        /// Position of its last change; the start of the era when it does not exist.
+        /// Position of the page's last change; the start of the era if the page doesn't exist.
         position: Position,
-        /// The page; none when it does not exist.
+        /// The page; `None` if it doesn't exist.
         page: Option<Page>,
-        /// Whether it is known that the store has not come back from a copy since the page was written.
+        /// Whether the store is known not to have been rolled back since the page was written.
         complete: bool,
-        /// What the reader knows of the page's home.
+        /// State of the page's home, as far as the reader knows.
         holder: Holder,
     },
     /// The page could not be read.
     ReadFailed,
     /// The write took effect.
     Wrote {
-        /// Its position.
+        /// Position of the write.
         position: Position,
     },
-    /// Whatever the page may have lost in an era has been written to it by those who know it, or never was.
+    /// Every key that the page may have lost in an era has been written back by the nodes with a record of it, or there
+    /// was none.
     Complete {
         /// The era.
         era: Era,
     },
-    /// Others who may know what the page has lost have been waited for long enough.
-    Waited,
-    /// The write did not take effect, since the page had changed.
+    /// The wait for nodes with a record of lost keys has ended.
+    WaitEnded,
+    /// The write did not take effect, because the page had changed.
     Refused,
-    /// The write may or may not have taken effect.
+    /// The outcome of the write is unknown.
     WriteLost,
-    /// The store may be well again.
+    /// The store may be available again.
     Retry,
-    /// What no caller waits for has waited long enough.
+    /// The delay for changes that no caller waits for has passed.
     Flush,
-    /// The node should be the home, so that the page is held before it is needed.
+    /// The node should become the home before the page is needed.
     Acquire,
-    /// The node was paused or cut off for so long that it may have been taken for dead.
-    Doubt,
+    /// The node was paused or cut off for so long that other nodes may have taken it for dead.
+    SuspectHold,
     /// The node leaves and hands its page over.
     Release,
 }
 
-/// What a node knows of the home that a page names.
+/// State of the home that a page names, as seen by another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Holder {
-    /// It may well be alive.
+    /// The home is probably alive.
     Alive,
-    /// It has been silent for longer than a heartbeat allows; it may be paused.
-    Silent,
-    /// Its life is over, by the VM list or by a later life of the VM.
-    Over,
+    /// The home has missed its heartbeats for too long. It may be paused.
+    Unresponsive,
+    /// The incarnation of the home has ended, by the VM list or by a later incarnation of the VM.
+    Dead,
 }
 
-/// What the shell of claims must do.
+/// Action that a page requests from the I/O shell.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ClaimAction {
     /// Read the page from the store.
     Read,
-    /// Write the page if it still stands at this position.
+    /// Write the page if its last change is still at this position.
     Write {
-        /// The position; the start of an era when the page must not exist there.
+        /// The position; the start of an era if the page must not exist in it.
         expected: Position,
-        /// The page.
         page: Page,
     },
-    /// Run the call that this press brought.
+    /// Run the submitted call.
     Run {
-        /// The key.
         key: KeyDigest,
-        /// The press that brought it.
-        press: PressId,
+        /// The keyed call that is run.
+        id: KeyedCallId,
     },
-    /// Tell a caller.
+    /// Reply to a caller.
     Reply {
-        /// The press.
-        press: PressId,
-        /// What to say.
-        reply: PressReply,
+        /// The keyed call that is answered.
+        id: KeyedCallId,
+        reply: KeyedCallReply,
     },
     /// Send [`ClaimEvent::Retry`] after a pause.
     RetryLater,
@@ -242,13 +236,12 @@
     FlushLater,
 }
 
-/// A call with a key, on its way through the ring to the claim thread.
+/// A keyed call in the queue of the claim thread.
 #[derive(Debug)]
 pub struct ClaimJob {
-    /// The call.
     pub head: CallHead,
     /// Its body.
     pub body: Bytes,
-    /// Where the reply goes.
+    /// Receives the reply.
     pub reply: oneshot::Sender<(Reply, Bytes)>,
 }
--- a/valetrack/src/claim/mod.rs
+++ b/valetrack/src/claim/mod.rs
@@ -1,8 +1,8 @@
-//! At most once: pressing again with the same key never runs the work twice.
+//! At-most-once execution of keyed calls: submitting a call again with the same key never runs it twice.
 //!
-//! Contract: a key runs only after its claim is in the store, under the revision that this home
-//! last knew; a key that was claimed and is not known to have finished never runs again; a press
-//! told `not-run` did not run and will not, under that press or any before it.
+//! Contract: a key runs only after its claim is in the store, written on the revision that this home last saw. A key
+//! that was claimed and has no recorded end never runs again. A submission answered with `not-run` did not run and will
+//! not, and neither did any earlier one of the same key.
 
 mod continuity;
 mod entry;
@@ -18,8 +18,8 @@
 pub use continuity::{Attestation, Continuity};
 pub use entry::ClaimRule;
 pub use message::{
-    ClaimAction, ClaimEvent, ClaimJob, Holder, Home, KeptAnswer, KeyDigest, Page, PageEntry, PressId, PressReply,
-    Record, RunEnd,
+    ClaimAction, ClaimEvent, ClaimJob, Holder, Home, KeptAnswer, KeyDigest, KeyedCallId, KeyedCallReply, Page,
+    PageEntry, Record, RunEnd,
 };
 pub use news::{ClaimNews, ClaimState, PeerClaims, PeerNews};
 pub use state::PageHome;
--- a/valetrack/src/claim/news.rs
+++ b/valetrack/src/claim/news.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of their pages and of the store's history.
+//! Reports that nodes exchange about their pages and the store's history.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,32 +7,32 @@
 
 use super::continuity::{Attestation, Continuity};
 
-/// What a node says of its pages as it sends a message.
+/// A node's report about its pages, as part of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ClaimNews {
-    /// What it knows of the store's history; none before the store has answered it.
+    /// The node's attestation of the store's history; `None` before the store has answered it.
     pub history: Option<Attestation>,
-    /// Whether the store has always been in touch with it since it started.
+    /// Whether the node's first connection to the store since its start is still open.
     pub is_first_contact: bool,
-    /// Pages of its service of which it may know keys that the store lacks, a bit each.
+    /// Bitmask of the pages of its service for which the node may have recorded keys that the store lacks.
     pub remembers: u8,
-    /// Whether it has pages that may lack keys, and wants to hear of the others.
+    /// Whether the node has pages that may lack keys and requests reports of the other nodes.
     pub is_asking: bool,
 }
 
-/// What a node last knew to say, before it is put into a message.
+/// The state that a node's reports are made from.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimState {
     /// The store's history.
     pub continuity: Continuity,
-    /// See [`ClaimNews::remembers`].
+    /// See [`ClaimReport::remembers`].
     pub remembers: u8,
-    /// See [`ClaimNews::is_asking`].
+    /// See [`ClaimReport::is_asking`].
     pub is_asking: bool,
 }
 
 impl ClaimState {
-    /// Returns what goes into a message that is sent at `now_us`.
+    /// Returns the report for a message that is sent at `now_us`.
     pub fn news(&self, now_us: u64) -> ClaimNews {
         ClaimNews {
             history: self.continuity.attestation(now_us),
@@ -43,51 +43,51 @@
     }
 }
 
-/// What another node has said of its pages.
+/// The last report of another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerNews {
-    /// Its life.
+    /// Incarnation of the node.
     pub incarnation: u64,
-    /// When the question was sent that it has answered, in microseconds: it spoke later than that.
+    /// When the request was sent that the node answered. The report was made after that time.
     pub asked_us: u64,
-    /// What it said.
+    /// The report.
     pub news: ClaimNews,
 }
 
-/// What all other nodes have said of their pages.
+/// The last reports of all other nodes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PeerClaims {
-    heard: BTreeMap<Arc<str>, PeerNews>,
-    /// When a node last said that it wants to hear of the others, in microseconds.
-    wanted_us: u64,
+    replies: BTreeMap<Arc<str>, PeerNews>,
+    /// When a node last requested reports.
+    requested_us: u64,
 }
 
 impl PeerClaims {
-    /// Takes what a node said in reply to a question.
-    pub fn reply(&mut self, vm: &Arc<str>, heard: PeerNews, now_us: u64) {
-        self.note_asking(heard.news, now_us);
-        self.heard.insert(vm.clone(), heard);
+    /// Records a node's reply to a request.
+    pub fn reply(&mut self, vm: &Arc<str>, reply: PeerNews, now_us: u64) {
+        self.note_asking(reply.news, now_us);
+        self.replies.insert(vm.clone(), reply);
     }
 
-    /// Takes what a node said of its own accord: it may have said so long before it is heard.
+    /// Records an unrequested report. It may be much older than its arrival, so only its request for reports counts.
     pub fn note_asking(&mut self, news: ClaimNews, now_us: u64) {
         if news.is_asking {
-            self.wanted_us = now_us;
+            self.requested_us = now_us;
         }
     }
 
-    /// Returns when a node last said that it wants to hear of the others, in microseconds.
-    pub fn wanted_us(&self) -> u64 {
-        self.wanted_us
+    /// Returns when a node last requested reports.
+    pub fn requested_us(&self) -> u64 {
+        self.requested_us
     }
 
-    /// Returns what a node has said in reply.
+    /// Returns the last reply of a node.
     pub fn of(&self, vm: &str) -> Option<&PeerNews> {
-        self.heard.get(vm)
+        self.replies.get(vm)
     }
 
-    /// Returns all that was said in reply.
+    /// Returns the last replies of all nodes.
     pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &PeerNews)> {
-        self.heard.iter()
+        self.replies.iter()
     }
 }
--- a/valetrack/src/claim/rank.rs
+++ b/valetrack/src/claim/rank.rs
@@ -1,4 +1,4 @@
-//! Where a key belongs: its page, and the order in which nodes should be its home.
+//! Assignment of keys to pages, and of pages to nodes.
 
 use std::sync::Arc;
 
@@ -6,9 +6,9 @@
 
 use super::message::KeyDigest;
 
-/// Pages that the keys of one service are spread over.
+/// Number of pages that the keys of one service are spread over.
 ///
-/// It never changes for a fleet: a key that moved to another page would be forgotten.
+/// It must never change in a fleet: a key that moved to another page would lose its claim.
 pub const PAGES: u16 = 4;
 
 /// Returns the digest of a key.
@@ -19,7 +19,7 @@
     KeyDigest(digest)
 }
 
-/// Returns the digest of what a call asks for, so that a key is not used for two calls.
+/// Returns the digest of a call's method, path and body, which detects a key that is used for two different calls.
 pub fn call_digest(method: &str, path: &str, body: &[u8]) -> u64 {
     let hash = Sha256::new()
         .chain_update(method)
@@ -36,12 +36,12 @@
     (first_u64(&key.0) % u64::from(PAGES)) as u16
 }
 
-/// Returns the key of a page in the store.
+/// Returns the store's key of a page.
 pub fn store_key(service: &str, page: u16) -> String {
     format!("/valetrack/claim/{service}/{page}")
 }
 
-/// Sorts nodes by how much they should be the home of a page (rendezvous hashing).
+/// Sorts nodes by their preference as the home of a page (rendezvous hashing).
 pub fn rank<T>(service: &str, page: u16, nodes: &mut [T], vm: impl Fn(&T) -> Arc<str>) {
     nodes.sort_by_cached_key(|node| std::cmp::Reverse(weight(service, page, &vm(node))));
 }
--- a/valetrack/src/claim/run.rs
+++ b/valetrack/src/claim/run.rs
@@ -1,4 +1,4 @@
-//! The claim thread: the pages of this VM's service, the store, and runs of claimed calls.
+//! The claim thread: the pages of this VM's service, calls to the store, and runs of claimed calls.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,10 +14,10 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use super::continuity::{Answered, Course};
+use super::continuity::{ClaimOutcome, StoreAnswer};
 use super::entry::ClaimRule;
 use super::message::{
-    ClaimAction, ClaimEvent, ClaimJob, Holder, Home, KeptAnswer, KeyDigest, Page, PressId, PressReply, RunEnd,
+    ClaimAction, ClaimEvent, ClaimJob, Holder, Home, KeptAnswer, KeyDigest, KeyedCallId, KeyedCallReply, Page, RunEnd,
 };
 use super::news::ClaimState;
 use super::rank::{PAGES, call_digest, digest, page_of, rank, store_key};
@@ -35,63 +35,60 @@
 
 mod history;
 
-/// Pause before a failed store is tried again, in milliseconds.
-const RETRY_MS: u64 = 250;
-/// Pause before finished runs are written by themselves, in milliseconds.
-const FLUSH_MS: u64 = 200;
-/// Pause between two looks at the time and the members, in milliseconds.
-const TICK_MS: u64 = 200;
-/// A tick that comes this much late means that the process was paused, in microseconds.
-const PAUSED_US: u64 = 800_000;
-/// Pause between two doubts of a node that hears nobody, in microseconds.
-const DOUBT_US: u64 = 1_000_000;
-/// Pause between two tries at pages that this node should hold, in microseconds.
-const ACQUIRE_US: u64 = 5_000_000;
-/// A node that knows no other of its service takes all pages only after this time, in
-/// microseconds since its start.
-const ALONE_US: u64 = 5_000_000;
-/// Most keys in one page: with kept answers a page stays below a megabyte.
+/// Pause before a failed call to the store is tried again.
+const RETRY_PAUSE_MS: u64 = 250;
+/// Pause before finished runs are written without a new claim.
+const FLUSH_PAUSE_MS: u64 = 200;
+/// Interval at which the time and the member list are checked.
+const TICK_INTERVAL_MS: u64 = 200;
+/// A tick that is late by more than this shows that the process was paused.
+const LATE_TICK_US: u64 = 800_000;
+/// Pause between two checks of the held pages by a node that receives nothing from the others.
+const SUSPECT_INTERVAL_US: u64 = 1_000_000;
+/// Pause between two attempts to acquire the pages that this node should hold.
+const ACQUIRE_INTERVAL_US: u64 = 5_000_000;
+/// Time after its start at which a node without other nodes of its service acquires all pages.
+const SOLE_NODE_US: u64 = 5_000_000;
+/// Most keys in one page. With the kept answers, a page stays below one megabyte.
 const ENTRIES_MAX: usize = 4_000;
-/// Pause while the store's budget is spent, in milliseconds.
-const BUDGET_MS: u64 = 10;
+/// Pause before the budget of store calls is checked again.
+const BUDGET_PAUSE_MS: u64 = 10;
 
-/// What the claim thread is joined to.
+/// Inputs and outputs of the claim thread.
 pub struct ClaimParts {
-    /// This life of this VM.
+    /// This incarnation of this VM.
     pub me: Home,
     /// The service of this VM's server.
     pub service: Arc<str>,
-    /// Calls with keys.
+    /// Keyed calls.
     pub jobs: Receiver<ClaimJob>,
-    /// Ring to placement.
+    /// Ring buffer to placement.
     pub to_place: Sender<PlaceJob>,
-    /// The store.
     pub store: Arc<dyn Store>,
-    /// Writes a second at most.
+    /// Highest rate of writes to the store.
     pub writes_per_s: u64,
-    /// Reads a second at most.
+    /// Highest rate of reads from the store.
     pub reads_per_s: u64,
-    /// Time limit of a call to the store, in milliseconds.
+    /// Time limit of a call to the store.
     pub store_timeout_ms: u64,
-    /// Silence after which a home may be replaced, in microseconds.
+    /// Silence after which a home may be replaced.
     pub silent_us: u64,
     /// The bundle in force.
     pub bundle: watch::Receiver<Option<Arc<InForce>>>,
-    /// VMs.
+    /// The member list.
     pub members: watch::Receiver<Arc<Members>>,
-    /// What others are told of the pages.
+    /// State from which the reports to other nodes are made.
     pub said: watch::Sender<ClaimState>,
     /// Turns true when this node leaves.
     pub leaving: watch::Receiver<bool>,
-    /// Told when every page is handed over.
+    /// Turns true when every page is handed over.
     pub released: watch::Sender<bool>,
-    /// Turns true when the thread is to end.
+    /// Turns true when the thread must end.
     pub closing: watch::Receiver<bool>,
-    /// Metrics.
     pub metrics: Arc<Metrics>,
 }
 
-struct Press {
+struct KeyedCall {
     attempt: AttemptId,
     head: CallHead,
     body: Bytes,
@@ -103,41 +100,41 @@
     writes: RateBudget,
 }
 
-/// How something ended that a page had ordered, or this node itself.
-enum Done {
-    /// Something that no answer of the store has told.
+/// Completion of a task that a page or the claim thread itself started.
+enum Completion {
+    /// An event that needs no answer of the store.
     Event(u16, ClaimEvent),
     /// A read of a page.
     Read(u16, PageAnswer),
-    /// A write of a page that was sent at a moment, in microseconds.
+    /// A write of a page, with the time at which it was sent in microseconds.
     Wrote(u16, u64, ClaimEvent),
-    /// A read that only shows whether the store is in touch.
-    Contact(Option<Answered>),
+    /// A read that only probes the store.
+    Probed(Option<StoreAnswer>),
 }
 
-/// What the read of a page has shown; none when it failed.
-type PageAnswer = Option<(Answered, Position, Option<Page>)>;
+/// Result of reading a page; `None` if the read failed.
+type PageAnswer = Option<(StoreAnswer, Position, Option<Page>)>;
 
 struct Shell {
     parts: ClaimParts,
     pages: HashMap<u16, PageHome>,
-    presses: HashMap<PressId, Press>,
-    next_press: u64,
-    work: FuturesUnordered<LocalBoxFuture<'static, Done>>,
+    keyed_calls: HashMap<KeyedCallId, KeyedCall>,
+    next_id: u64,
+    work: FuturesUnordered<LocalBoxFuture<'static, Completion>>,
     budget: Rc<RefCell<Budget>>,
     rule: ClaimRule,
     /// Since when this process has run without a pause.
-    awake_us: u64,
+    resumed_us: u64,
     suspensions: SuspensionWatch,
-    doubted_us: u64,
-    /// When pages that this node should hold are next tried.
+    suspected_us: u64,
+    /// When this node next tries to acquire the pages that it should hold.
     acquire_at_us: u64,
-    /// Nodes of the service as of the last look.
+    /// Nodes of the service at the last tick.
     nodes: Vec<Arc<str>>,
     history: History,
 }
 
-/// Serves claims until told to close; must run on a local task set.
+/// Serves claims until `closing` turns true. Must run on a local task set.
 pub async fn run(parts: ClaimParts) {
     let now = now_us();
     let budget = Budget {
@@ -146,14 +143,14 @@
     };
     let mut shell = Shell {
         pages: HashMap::new(),
-        presses: HashMap::new(),
-        next_press: 1,
+        keyed_calls: HashMap::new(),
+        next_id: 1,
         work: FuturesUnordered::new(),
         budget: Rc::new(RefCell::new(budget)),
         rule: ClaimRule { lifetime_s: 600, held: false, entries_max: ENTRIES_MAX },
-        awake_us: now,
+        resumed_us: now,
         suspensions: SuspensionWatch::from_now(),
-        doubted_us: 0,
+        suspected_us: 0,
         acquire_at_us: 0,
         nodes: Vec::new(),
         history: History::default(),
@@ -169,41 +166,41 @@
         let mut bundle = self.parts.bundle.clone();
         let mut closing = self.parts.closing.clone();
         let mut members = self.parts.members.clone();
-        let mut tick = interval(Duration::from_millis(TICK_MS));
+        let mut tick = interval(Duration::from_millis(TICK_INTERVAL_MS));
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut ticked_us = now_us();
-        let mut told = false;
+        let mut is_releasing = false;
         loop {
             tokio::select! {
                 job = jobs.recv() => match job {
-                    Ok(job) => self.press(job),
+                    Ok(job) => self.submit(job),
                     Err(_) => return,
                 },
-                Some(done) = self.work.next(), if !self.work.is_empty() => {
-                    self.look_for_suspension();
-                    self.take(done);
+                Some(completion) = self.work.next(), if !self.work.is_empty() => {
+                    self.check_suspension();
+                    self.on_completion(completion);
                 }
-                Ok(()) = members.changed() => self.follow_history(),
+                Ok(()) = members.changed() => self.update_history(),
                 _ = tick.tick() => {
                     let now = now_us();
-                    let late = now > ticked_us + TICK_MS * 1000 + PAUSED_US;
+                    let late = now > ticked_us + TICK_INTERVAL_MS * 1000 + LATE_TICK_US;
                     ticked_us = now;
                     self.tick(late, now);
                 }
                 _ = closing.wait_for(|closing| *closing) => return,
-                Ok(()) = bundle.changed() => self.adopt(),
-                Ok(_) = leaving.wait_for(|leaving| *leaving), if !told => {
-                    told = true;
+                Ok(()) = bundle.changed() => self.apply_bundle(),
+                Ok(_) = leaving.wait_for(|leaving| *leaving), if !is_releasing => {
+                    is_releasing = true;
                     self.release();
                 }
             }
-            if told && self.pages.values().all(PageHome::released) {
+            if is_releasing && self.pages.values().all(PageHome::released) {
                 self.parts.released.send_replace(true);
             }
         }
     }
 
-    fn adopt(&mut self) {
+    fn apply_bundle(&mut self) {
         let rule = self.parts.bundle.borrow().as_ref().and_then(|b| b.bundle.service(&self.parts.service).cloned());
         let Some(rule) = rule else {
             return;
@@ -224,49 +221,50 @@
     }
 
     fn tick(&mut self, late: bool, now: u64) {
-        self.follow_history();
-        self.ask_again();
+        self.update_history();
+        self.resend_request();
         if late {
             log::warn!("event=claim.woke");
-            self.awake_us = now;
+            self.resumed_us = now;
         }
-        let alone = self.alone(now) && now > self.doubted_us + DOUBT_US;
-        if late || alone {
-            self.doubted_us = now;
+        let is_isolated = self.is_isolated(now) && now > self.suspected_us + SUSPECT_INTERVAL_US;
+        if late || is_isolated {
+            self.suspected_us = now;
             for page in 0..PAGES {
                 if self.pages.contains_key(&page) {
-                    self.handle(page, ClaimEvent::Doubt);
+                    self.handle(page, ClaimEvent::SuspectHold);
                 }
             }
         }
         let nodes: Vec<Arc<str>> =
             self.parts.members.borrow().servers_of(&self.parts.service).map(|node| node.vm).collect();
         if nodes != self.nodes {
-            // Whoever comes up among others must hear of them before it takes what is theirs.
+            // A node that has just joined waits for the reports of the others before it acquires pages that they hold.
             self.nodes = nodes;
             self.acquire_at_us = now;
             return;
         }
-        let others = nodes.len() > 1 || now >= ALONE_US;
-        if others && now >= self.acquire_at_us && self.parts.bundle.borrow().is_some() {
-            self.acquire_at_us = now + ACQUIRE_US;
+        let has_peers_or_waited = nodes.len() > 1 || now >= SOLE_NODE_US;
+        if has_peers_or_waited && now >= self.acquire_at_us && self.parts.bundle.borrow().is_some() {
+            self.acquire_at_us = now + ACQUIRE_INTERVAL_US;
             self.acquire(&nodes);
         }
     }
 
-    /// Returns whether others should be heard but none was for long.
-    fn alone(&self, now: u64) -> bool {
+    /// Returns whether all other nodes of the service have been silent for long.
+    fn is_isolated(&self, now: u64) -> bool {
         let members = self.parts.members.borrow();
         let mut others = members
             .iter()
             .filter(|member| member.service == self.parts.service && member.phase == Phase::Serving)
             .filter(|member| member.vm != self.parts.me.vm)
             .peekable();
-        let quiet = |vm: &str| members.silent_us(vm, now).is_none_or(|silent_us| silent_us > self.parts.silent_us / 2);
-        others.peek().is_some() && others.all(|member| quiet(&member.vm))
+        let is_silent =
+            |vm: &str| members.silent_us(vm, now).is_none_or(|silent_us| silent_us > self.parts.silent_us / 2);
+        others.peek().is_some() && others.all(|member| is_silent(&member.vm))
     }
 
-    /// Takes the pages that this node should hold, so that they are held before they are needed.
+    /// Acquires the pages that this node should hold before they are needed.
     fn acquire(&mut self, nodes: &[Arc<str>]) {
         if *self.parts.leaving.borrow() {
             return;
@@ -280,16 +278,15 @@
         }
     }
 
-    /// Doubts what this node holds at once after a suspension of its VM: the next look at the time comes
-    /// later than the first call.
-    fn look_for_suspension(&mut self) {
+    /// Checks the held pages at once after a suspension of the VM. The next tick comes only after the first call.
+    fn check_suspension(&mut self) {
         if self.suspensions.take(suspended_us()).is_some() {
             self.tick(true, now_us());
         }
     }
 
-    fn press(&mut self, job: ClaimJob) {
-        self.look_for_suspension();
+    fn submit(&mut self, job: ClaimJob) {
+        self.check_suspension();
         let ClaimJob { head, body, reply } = job;
         let attempt = head.attempt;
         let Some(key) = head.key.clone().filter(|_| head.service == self.parts.service) else {
@@ -299,15 +296,15 @@
         let key = digest(&head.service, &key);
         let call = call_digest(&head.method, &head.path, &body);
         let page = page_of(key);
-        let press = PressId(self.next_press);
-        self.next_press += 1;
+        let id = KeyedCallId(self.next_id);
+        self.next_id += 1;
         let deadline = Duration::from_millis(head.deadline_ms.into());
         self.work.push(Box::pin(async move {
             sleep(deadline).await;
-            Done::Event(page, ClaimEvent::Expire { press })
+            Completion::Event(page, ClaimEvent::Expire { id })
         }));
-        self.presses.insert(press, Press { attempt, head, body, reply });
-        self.handle(page, ClaimEvent::Press { press, key, call });
+        self.keyed_calls.insert(id, KeyedCall { attempt, head, body, reply });
+        self.handle(page, ClaimEvent::KeyedCall { id, key, call });
     }
 
     fn handle(&mut self, page: u16, event: ClaimEvent) {
@@ -319,38 +316,38 @@
         for action in actions {
             match action {
                 ClaimAction::Read => self.read(page),
-                ClaimAction::Write { expected, page: text } => self.write(page, expected, &text),
-                ClaimAction::Run { key, press } => self.run_call(page, key, press),
-                ClaimAction::Reply { press, reply } => self.reply(press, reply),
-                ClaimAction::RetryLater => self.later(page, RETRY_MS, ClaimEvent::Retry),
-                ClaimAction::FlushLater => self.later(page, FLUSH_MS, ClaimEvent::Flush),
+                ClaimAction::Write { expected, page: content } => self.write(page, expected, &content),
+                ClaimAction::Run { key, id } => self.run_call(page, key, id),
+                ClaimAction::Reply { id, reply } => self.reply(id, reply),
+                ClaimAction::RetryLater => self.schedule(page, RETRY_PAUSE_MS, ClaimEvent::Retry),
+                ClaimAction::FlushLater => self.schedule(page, FLUSH_PAUSE_MS, ClaimEvent::Flush),
             }
         }
     }
 
-    fn take(&mut self, done: Done) {
-        match done {
-            Done::Event(page, event) => self.handle(page, event),
-            Done::Read(page, answer) => self.take_page(page, answer),
-            Done::Wrote(page, sent_us, event) => self.take_written(page, sent_us, event),
-            Done::Contact(answered) => self.take_contact(answered),
+    fn on_completion(&mut self, completion: Completion) {
+        match completion {
+            Completion::Event(page, event) => self.handle(page, event),
+            Completion::Read(page, answer) => self.on_page_read(page, answer),
+            Completion::Wrote(page, sent_us, event) => self.on_page_written(page, sent_us, event),
+            Completion::Probed(store_answer) => self.on_probed(store_answer),
         }
-        self.publish_news();
+        self.publish_state();
     }
 
-    fn later(&mut self, page: u16, after_ms: u64, event: ClaimEvent) {
+    fn schedule(&mut self, page: u16, after_ms: u64, event: ClaimEvent) {
         self.work.push(Box::pin(async move {
             sleep(Duration::from_millis(after_ms)).await;
-            Done::Event(page, event)
+            Completion::Event(page, event)
         }));
     }
 
     fn read(&mut self, page: u16) {
         let reading = self.read_page(page);
-        self.work.push(Box::pin(async move { Done::Read(page, reading.await) }));
+        self.work.push(Box::pin(async move { Completion::Read(page, reading.await) }));
     }
 
-    /// Reads a page's key, within the budget and the store's time limit.
+    /// Reads a page within the read budget and the store's time limit.
     fn read_page(&self, page: u16) -> impl Future<Output = PageAnswer> + use<> {
         let store = self.parts.store.clone();
         let key = store_key(&self.parts.service, page);
@@ -358,7 +355,7 @@
         let counts = self.parts.metrics.store_calls.with_label_values(&["read"]);
         let wait_ms = self.parts.store_timeout_ms;
         async move {
-            if !granted(&budget, wait_ms, |budget| &mut budget.reads).await {
+            if !wait_for_budget(&budget, wait_ms, |budget| &mut budget.reads).await {
                 return None;
             }
             counts.inc();
@@ -371,48 +368,48 @@
                 }
             };
             let position = found.position();
-            let answered = Answered { at: found.at, history: found.history, sent_us };
+            let store_answer = StoreAnswer { at: found.at, history: found.history, sent_us };
             let Some(value) = found.value else {
-                return Some((answered, position, None));
+                return Some((store_answer, position, None));
             };
-            let Ok(text) = postcard::from_bytes::<Page>(&value.value) else {
-                // A page that cannot be read is not to be written over.
+            let Ok(content) = postcard::from_bytes::<Page>(&value.value) else {
+                // A page that can't be parsed must not be overwritten.
                 log::error!("event=claim.page_damaged page={page} code={}", Code::StoreAnswerInvalid);
                 return None;
             };
-            Some((answered, position, Some(text)))
+            Some((store_answer, position, Some(content)))
         }
     }
 
-    fn take_page(&mut self, page: u16, answer: PageAnswer) {
-        let Some((answered, position, text)) = answer else {
+    fn on_page_read(&mut self, page: u16, answer: PageAnswer) {
+        let Some((store_answer, position, content)) = answer else {
             return self.handle(page, ClaimEvent::ReadFailed);
         };
-        if self.answered(answered) == Course::Returned {
-            // What this answer shows is read again under the new era.
+        if self.record_answer(store_answer) == ClaimOutcome::RolledBack {
+            // The answer belongs to the ended era, so the page is read again in the new one.
             return self.read(page);
         }
-        let home = text.as_ref().and_then(|text| text.home.as_ref());
-        let holder = match (&text, home) {
-            (Some(_), Some(home)) => holder(&self.parts.members.borrow(), home, self.parts.silent_us, self.awake_us),
-            (Some(_), None) => Holder::Over,
+        let home = content.as_ref().and_then(|content| content.home.as_ref());
+        let holder = match (&content, home) {
+            (Some(_), Some(home)) => holder(&self.parts.members.borrow(), home, self.parts.silent_us, self.resumed_us),
+            (Some(_), None) => Holder::Dead,
             (None, _) => Holder::Alive,
         };
         let complete = self.history.continuity.covers(position);
-        self.handle(page, ClaimEvent::Read { position, page: text, complete, holder });
-        self.note_gap(page, position);
+        self.handle(page, ClaimEvent::Read { position, page: content, complete, holder });
+        self.record_gap(page, position);
     }
 
-    fn write(&mut self, page: u16, expected: Position, text: &Page) {
+    fn write(&mut self, page: u16, expected: Position, content: &Page) {
         let store = self.parts.store.clone();
         let key = store_key(&self.parts.service, page);
-        let value = postcard::to_allocvec(text).unwrap_or_default();
+        let value = postcard::to_allocvec(content).unwrap_or_default();
         let budget = self.budget.clone();
         let counts = self.parts.metrics.store_calls.with_label_values(&["write"]);
         let wait_ms = self.parts.store_timeout_ms;
         self.work.push(Box::pin(async move {
-            if !granted(&budget, wait_ms, |budget| &mut budget.writes).await {
-                return Done::Event(page, ClaimEvent::WriteLost);
+            if !wait_for_budget(&budget, wait_ms, |budget| &mut budget.writes).await {
+                return Completion::Event(page, ClaimEvent::WriteLost);
             }
             counts.inc();
             let sent_us = now_us();
@@ -424,20 +421,20 @@
                     ClaimEvent::WriteLost
                 }
             };
-            Done::Wrote(page, sent_us, event)
+            Completion::Wrote(page, sent_us, event)
         }));
     }
 
-    fn run_call(&mut self, page: u16, key: KeyDigest, press: PressId) {
-        let Some(press) = self.presses.get(&press) else {
-            // The caller that brought the call has been answered, so nothing may start.
+    fn run_call(&mut self, page: u16, key: KeyDigest, id: KeyedCallId) {
+        let Some(keyed_call) = self.keyed_calls.get(&id) else {
+            // The caller has been answered already, so nothing may start.
             let end = RunEnd::NeverStarted { code: Code::ClaimNotKept };
-            self.work.push(Box::pin(async move { Done::Event(page, ClaimEvent::RunEnded { key, end }) }));
+            self.work.push(Box::pin(async move { Completion::Event(page, ClaimEvent::RunEnded { key, end }) }));
             return;
         };
-        log::info!("event=claim.run call={} page={page}", press.head.call_id);
+        log::info!("event=claim.run call={} page={page}", keyed_call.head.call_id);
         let (reply, placed) = oneshot::channel();
-        let job = PlaceJob { head: press.head.clone(), body: press.body.clone(), repeatable: false, reply };
+        let job = PlaceJob { head: keyed_call.head.clone(), body: keyed_call.body.clone(), repeatable: false, reply };
         let to_place = self.parts.to_place.clone();
         self.work.push(Box::pin(async move {
             let end = if to_place.send(job).await.is_err() {
@@ -445,39 +442,39 @@
             } else {
                 run_end(placed.await)
             };
-            Done::Event(page, ClaimEvent::RunEnded { key, end })
+            Completion::Event(page, ClaimEvent::RunEnded { key, end })
         }));
     }
 
-    fn reply(&mut self, press: PressId, reply: PressReply) {
-        let Some(Press { attempt, reply: to, head, .. }) = self.presses.remove(&press) else {
+    fn reply(&mut self, id: KeyedCallId, reply: KeyedCallReply) {
+        let Some(KeyedCall { attempt, reply: to, head, .. }) = self.keyed_calls.remove(&id) else {
             return;
         };
         self.parts.metrics.presses.with_label_values(&[reply_label(&reply)]).inc();
         log::debug!("event=claim.reply call={} reply={}", head.call_id, reply_label(&reply));
-        let _ = to.send(message_of(attempt, reply));
+        let _ = to.send(reply_message(attempt, reply));
     }
 }
 
-async fn granted(budget: &RefCell<Budget>, wait_ms: u64, of: impl Fn(&mut Budget) -> &mut RateBudget) -> bool {
-    for _ in 0..=wait_ms / BUDGET_MS {
+async fn wait_for_budget(budget: &RefCell<Budget>, wait_ms: u64, of: impl Fn(&mut Budget) -> &mut RateBudget) -> bool {
+    for _ in 0..=wait_ms / BUDGET_PAUSE_MS {
         if of(&mut budget.borrow_mut()).take(1, now_us()) {
             return true;
         }
-        sleep(Duration::from_millis(BUDGET_MS)).await;
+        sleep(Duration::from_millis(BUDGET_PAUSE_MS)).await;
     }
     false
 }
 
-fn holder(members: &Members, home: &Home, silent_us: u64, awake_us: u64) -> Holder {
+fn holder(members: &Members, home: &Home, silent_us: u64, resumed_us: u64) -> Holder {
     if members.is_over(&home.vm, home.incarnation) {
-        return Holder::Over;
+        return Holder::Dead;
     }
     let now = now_us();
-    // Whoever has slept has heard nobody, which says nothing of the others.
-    let awake_for_us = now.saturating_sub(awake_us);
-    let quiet_us = members.silent_us(&home.vm, now).unwrap_or(awake_for_us).min(awake_for_us);
-    if quiet_us > silent_us { Holder::Silent } else { Holder::Alive }
+    // A node that was paused has received nothing meanwhile, which is no sign that the others were silent.
+    let running_for_us = now.saturating_sub(resumed_us);
+    let silent_for_us = members.silent_us(&home.vm, now).unwrap_or(running_for_us).min(running_for_us);
+    if silent_for_us > silent_us { Holder::Unresponsive } else { Holder::Alive }
 }
 
 fn run_end(placed: Result<Placed, oneshot::error::RecvError>) -> RunEnd {
@@ -491,19 +488,19 @@
     }
 }
 
-const fn reply_label(reply: &PressReply) -> &'static str {
+const fn reply_label(reply: &KeyedCallReply) -> &'static str {
     match reply {
-        PressReply::Ran(_) => "ran",
-        PressReply::NotRun { .. } => "not-run",
-        PressReply::Unknown { .. } => "unknown",
-        PressReply::Moved { .. } => "moved",
-        PressReply::NotHome { .. } => "not-home",
-        PressReply::Reused => "reused",
+        KeyedCallReply::Ran(_) => "ran",
+        KeyedCallReply::NotRun { .. } => "not-run",
+        KeyedCallReply::Unknown { .. } => "unknown",
+        KeyedCallReply::Moved { .. } => "moved",
+        KeyedCallReply::NotHome { .. } => "not-home",
+        KeyedCallReply::Reused => "reused",
     }
 }
 
-fn message_of(attempt: AttemptId, reply: PressReply) -> (Reply, Bytes) {
-    let line = |outcome, code: Code| {
+fn reply_message(attempt: AttemptId, reply: KeyedCallReply) -> (Reply, Bytes) {
+    let without_body = |outcome, code: Code| {
         let answer = AnswerHead {
             attempt,
             outcome,
@@ -518,7 +515,7 @@
         (Reply::Answer(answer), Bytes::new())
     };
     match reply {
-        PressReply::Ran(kept) => {
+        KeyedCallReply::Ran(kept) => {
             let code = if kept.body.is_none() { Code::AnswerNotKept.number() } else { 0 };
             let body = Bytes::from(kept.body.unwrap_or_default());
             let answer = AnswerHead {
@@ -534,10 +531,10 @@
             };
             (Reply::Answer(answer), body)
         }
-        PressReply::NotRun { code } => line(Outcome::NotRun, code),
-        PressReply::Unknown { code } => line(Outcome::Unknown, code),
-        PressReply::Reused => line(Outcome::NotRun, Code::KeyReused),
-        PressReply::Moved { home } => (Reply::Moved { attempt, home: home.vm }, Bytes::new()),
-        PressReply::NotHome { code } => (Reply::NotHome { attempt, code: code.number() }, Bytes::new()),
+        KeyedCallReply::NotRun { code } => without_body(Outcome::NotRun, code),
+        KeyedCallReply::Unknown { code } => without_body(Outcome::Unknown, code),
+        KeyedCallReply::Reused => without_body(Outcome::NotRun, Code::KeyReused),
+        KeyedCallReply::Moved { home } => (Reply::Moved { attempt, home: home.vm }, Bytes::new()),
+        KeyedCallReply::NotHome { code } => (Reply::NotHome { attempt, code: code.number() }, Bytes::new()),
     }
 }
--- a/valetrack/src/claim/state.rs
+++ b/valetrack/src/claim/state.rs
@@ -1,79 +1,78 @@
-//! Pure decisions of a home over one page of claims.
+//! State machine of a home over one page of claims, without I/O.
 //!
-//! The safety of a run rests on one rule: [`ClaimAction::Run`] is ordered only after the store
-//! has confirmed a write, made on the revision that this home last knew, which holds the claim.
-//! Whoever takes the page over does so by a write on the same revision, so one of the two
-//! fails. Time decides when a takeover is tried, never whether a run is safe.
+//! The safety of a run rests on one rule: [`ClaimAction::Run`] is requested only after the store has confirmed a write
+//! that contains the claim and was made on the revision that this home last saw. A takeover is also a write on that
+//! revision, so only one of the two takes effect. Time decides when a takeover is tried, never whether a run is safe.
 //!
-//! A store that came back from a copy has lost claims that it had confirmed. A page that may be from such a copy is no
-//! proof that a key is new: until all nodes that may know more have been heard ([`gap`]), an unknown key does not run.
+//! A rolled-back store has lost claims that it had confirmed, and a page from its older copy is no proof that a key is
+//! new. An unknown key therefore doesn't run until all nodes that may have a record of it have reported ([`gap`]).
 
 use std::collections::BTreeMap;
 
 use self::gap::Gap;
-use super::entry::{Arrived, ClaimRule, Entry, Hold, Purpose, State};
-use super::message::{ClaimAction, ClaimEvent, Holder, Home, KeyDigest, Page, PressId, PressReply, RunEnd};
+use super::entry::{ClaimRule, Entry, Hold, Pending, Purpose, State};
+use super::message::{ClaimAction, ClaimEvent, Holder, Home, KeyDigest, KeyedCallId, KeyedCallReply, Page, RunEnd};
 use crate::code::Code;
 use crate::store::{Era, Position};
 
 mod gap;
 mod read;
 
-/// What one node knows and decides of one page.
+/// One node's state of one page.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PageHome {
     me: Home,
     rule: ClaimRule,
     hold: Hold,
     term: u64,
-    /// Whether a write of this node has been confirmed since it took the page.
+    /// Whether a write of this node has been confirmed since it took over the page.
     confirmed: bool,
-    /// The store's era that was heard of last.
+    /// The latest era in which the page was read.
     era: Era,
-    /// What the page may lack since the store came back; none while it is known to be whole.
+    /// The gap that a store rollback left; `None` while the page is known to be complete.
     gap: Option<Gap>,
-    /// Until when a key that is not known here may have run all the same, in seconds since 1970.
+    /// Until when a key that is unknown here may have run all the same, in seconds since 1970.
     blind_until_s: u64,
-    /// What a press of such a key is told.
-    blind_code: Code,
+    /// Code of the reply to a call with such a key while no gap is open.
+    no_gap_code: Code,
     entries: BTreeMap<KeyDigest, Entry>,
-    /// Presses that came before it was known who the home is.
-    arrived: Vec<Arrived>,
-    /// Fresh keys that the write under way holds.
+    /// Keyed calls that wait until the home is known or the gap is closed.
+    pending: Vec<Pending>,
+    /// Unstarted keys in the write that is in flight.
     in_write: Vec<KeyDigest>,
-    /// Whether memory has something that the store lacks.
+    /// Whether memory has changes that are not in the store.
     dirty: bool,
-    /// Whether that cannot wait for the next claim.
+    /// Whether these changes must be written without waiting for the next claim.
     urgent: bool,
-    /// Whether a flush is due to come.
+    /// Whether a flush is scheduled.
     flush_due: bool,
     /// Whether the last call to the store failed.
     outage: bool,
     releasing: bool,
-    /// Whether a retry is due to come.
+    /// Whether a retry is scheduled.
     retry_due: bool,
-    /// Whether the page in the store says that its home may run on claims in memory.
+    /// Whether the page in the store allows its home to run calls on claims in memory.
     held_in_store: bool,
-    /// Whether another node may be the home unseen: until this node's first write is confirmed,
-    /// and after it may have been taken for dead.
-    doubted: bool,
+    /// Whether another node may have become the home unnoticed: until this node's first write is confirmed, and after
+    /// other nodes may have taken this node for dead.
+    is_suspect: bool,
 }
 
 impl PageHome {
-    /// Makes a page of which nothing is known yet.
+    /// Creates a page that has not been read yet.
     pub fn new(me: Home, rule: ClaimRule) -> Self {
         Self {
             me,
             rule,
-            hold: Hold::Away,
+            hold: Hold::NotHeld,
             term: 0,
             confirmed: false,
             era: Era::default(),
             gap: None,
             blind_until_s: 0,
-            blind_code: Code::ClaimHistoryUnknown,
+            no_gap_code: Code::ClaimHistoryUnknown,
             entries: BTreeMap::new(),
-            arrived: Vec::new(),
+            pending: Vec::new(),
             in_write: Vec::new(),
             dirty: false,
             urgent: false,
@@ -82,45 +81,45 @@
             releasing: false,
             retry_due: false,
             held_in_store: false,
-            doubted: false,
+            is_suspect: false,
         }
     }
 
-    /// Returns whether this node believes that it is the home; only the store knows.
+    /// Returns whether this node assumes that it is the home. Only the store can confirm it.
     pub fn holds(&self) -> bool {
         match self.hold {
-            Hold::Held { .. } | Hold::Unsure => true,
+            Hold::Held { .. } | Hold::Uncertain => true,
             Hold::Writing { purpose, .. } => purpose != Purpose::Report,
-            Hold::Away | Hold::Reading | Hold::Reporting => false,
+            Hold::NotHeld | Hold::Reading | Hold::Reporting => false,
         }
     }
 
     /// Returns whether nothing is left to hand over.
     pub fn released(&self) -> bool {
-        matches!(self.hold, Hold::Away)
+        matches!(self.hold, Hold::NotHeld)
     }
 
-    /// Returns the number of keys remembered.
+    /// Returns the number of recorded keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether no key is remembered.
+    /// Returns whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes new rules from the bundle in force.
+    /// Applies the rules of the bundle in force.
     pub fn configure(&mut self, rule: ClaimRule) {
         self.rule = rule;
     }
 
-    /// Takes one event at `now_s` (seconds since 1970) and appends what must be done to `out`.
+    /// Handles one event at `now_s` (seconds since 1970) and appends the resulting actions to `out`.
     pub fn handle(&mut self, event: ClaimEvent, now_s: u64, out: &mut Vec<ClaimAction>) {
         self.expire_gap(now_s);
         match event {
-            ClaimEvent::Press { press, key, call } => self.press(Arrived { press, key, call }, now_s, out),
-            ClaimEvent::Expire { press } => self.expire(press, out),
+            ClaimEvent::KeyedCall { id, key, call } => self.submit(Pending { id, key, call }, now_s, out),
+            ClaimEvent::Expire { id } => self.expire(id, out),
             ClaimEvent::RunEnded { key, end } => self.run_ended(key, end, out),
             ClaimEvent::Read { position, page, complete, holder } => {
                 self.read(PageRead { position, page, complete, holder }, now_s, out);
@@ -128,75 +127,75 @@
             ClaimEvent::ReadFailed => self.read_failed(out),
             ClaimEvent::Wrote { position } => self.wrote(position, out),
             ClaimEvent::Complete { era } => self.complete(era, now_s, out),
-            ClaimEvent::Waited => self.waited(now_s, out),
-            ClaimEvent::Refused => self.refused(out),
+            ClaimEvent::WaitEnded => self.end_wait(now_s, out),
+            ClaimEvent::Refused => self.write_refused(out),
             ClaimEvent::WriteLost => self.write_lost(out),
             ClaimEvent::Retry => self.retry(out),
             ClaimEvent::Acquire => self.acquire(out),
-            ClaimEvent::Doubt => self.doubt(out),
+            ClaimEvent::SuspectHold => self.suspect_hold(out),
             ClaimEvent::Flush => self.flush(),
             ClaimEvent::Release => self.release(out),
         }
         self.write_if_due(now_s, out);
     }
 
-    fn press(&mut self, arrived: Arrived, now_s: u64, out: &mut Vec<ClaimAction>) {
+    fn submit(&mut self, pending: Pending, now_s: u64, out: &mut Vec<ClaimAction>) {
         match self.hold {
-            Hold::Away if self.releasing => self.reply(arrived.press, not_home(Code::Leaving), out),
-            Hold::Away => {
-                self.arrived.push(arrived);
+            Hold::NotHeld if self.releasing => self.reply(pending.id, not_home(Code::Leaving), out),
+            Hold::NotHeld => {
+                self.pending.push(pending);
                 self.start_read(out);
             }
             Hold::Reading | Hold::Reporting | Hold::Writing { purpose: Purpose::Report, .. } => {
-                self.arrived.push(arrived)
+                self.pending.push(pending)
             }
-            Hold::Held { .. } | Hold::Writing { .. } | Hold::Unsure => self.admit(arrived, now_s, out),
+            Hold::Held { .. } | Hold::Writing { .. } | Hold::Uncertain => self.admit(pending, now_s, out),
         }
     }
 
-    /// Decides on a press as the home.
-    fn admit(&mut self, arrived: Arrived, now_s: u64, out: &mut Vec<ClaimAction>) {
-        let Arrived { press, key, call } = arrived;
+    /// Decides on a keyed call as the home.
+    fn admit(&mut self, pending: Pending, now_s: u64, out: &mut Vec<ClaimAction>) {
+        let Pending { id, key, call } = pending;
         if let Some(entry) = self.entries.get_mut(&key) {
             if entry.call != call {
-                self.reply(press, PressReply::Reused, out);
+                self.reply(id, KeyedCallReply::Reused, out);
                 return;
             }
             match &entry.state {
-                State::Fresh | State::Running => entry.presses.push(press),
+                State::Fresh | State::Running => entry.keyed_calls.push(id),
                 State::Finished(answer) => {
-                    let reply = PressReply::Ran(answer.clone());
-                    self.reply(press, reply, out);
+                    let reply = KeyedCallReply::Ran(answer.clone());
+                    self.reply(id, reply, out);
                 }
-                State::Lost => self.reply(press, PressReply::Unknown { code: Code::ClaimUnfinished }, out),
+                State::Lost => self.reply(id, KeyedCallReply::Unknown { code: Code::ClaimUnfinished }, out),
             }
             return;
         }
         if self.gap.is_some() && self.releasing {
-            self.reply(press, not_home(Code::Leaving), out);
+            self.reply(id, not_home(Code::Leaving), out);
             return;
         }
         if self.gap.as_ref().is_some_and(Gap::waits) {
-            self.arrived.push(Arrived { press, key, call });
+            self.pending.push(Pending { id, key, call });
             return;
         }
-        if now_s < self.unsure_until_s() {
-            self.reply(press, PressReply::Unknown { code: self.unsure_code() }, out);
+        if now_s < self.uncertain_until_s() {
+            self.reply(id, KeyedCallReply::Unknown { code: self.uncertain_code() }, out);
             return;
         }
         if self.entries.len() >= self.rule.entries_max {
-            self.reply(press, self.not_run(Code::ClaimPageFull), out);
+            self.reply(id, self.not_run(Code::ClaimPageFull), out);
             return;
         }
         if self.releasing {
-            self.reply(press, not_home(Code::Leaving), out);
+            self.reply(id, not_home(Code::Leaving), out);
             return;
         }
         if self.outage && !self.held_in_store {
-            self.reply(press, self.not_run(Code::ClaimNotKept), out);
+            self.reply(id, self.not_run(Code::ClaimNotKept), out);
             return;
         }
-        let entry = Entry { call, claimed_s: now_s, state: State::Fresh, presses: vec![press] };
+        let entry = Entry { call, claimed_s: now_s, state: State::Fresh, keyed_calls: vec![id] };
         self.entries.insert(key, entry);
         self.dirty = true;
         self.urgent = true;
@@ -205,31 +204,31 @@
         }
     }
 
-    fn expire(&mut self, press: PressId, out: &mut Vec<ClaimAction>) {
-        if let Some(at) = self.arrived.iter().position(|arrived| arrived.press == press) {
-            self.arrived.remove(at);
+    fn expire(&mut self, id: KeyedCallId, out: &mut Vec<ClaimAction>) {
+        if let Some(at) = self.pending.iter().position(|pending| pending.id == id) {
+            self.pending.remove(at);
             let reply = match self.holds() {
-                true => PressReply::Unknown { code: self.unsure_code() },
+                true => KeyedCallReply::Unknown { code: self.uncertain_code() },
                 false => not_home(Code::ClaimNotKept),
             };
-            self.reply(press, reply, out);
+            self.reply(id, reply, out);
             return;
         }
-        let waiting = self.entries.iter_mut().find(|(_, entry)| entry.presses.contains(&press));
+        let waiting = self.entries.iter_mut().find(|(_, entry)| entry.keyed_calls.contains(&id));
         let Some((&key, entry)) = waiting else {
             return;
         };
-        entry.presses.retain(|&waiting| waiting != press);
+        entry.keyed_calls.retain(|&waiting| waiting != id);
         if entry.state != State::Fresh {
-            self.reply(press, PressReply::Unknown { code: Code::DeadlinePassed }, out);
+            self.reply(id, KeyedCallReply::Unknown { code: Code::DeadlinePassed }, out);
             return;
         }
-        if entry.presses.is_empty() {
-            // Nobody waits for it any more, so it must not start when the write is confirmed.
+        if entry.keyed_calls.is_empty() {
+            // No caller waits for the call any more, so it must not start when the write is confirmed.
             self.entries.remove(&key);
             self.dirty = true;
         }
-        self.reply(press, self.not_run(Code::ClaimNotKept), out);
+        self.reply(id, self.not_run(Code::ClaimNotKept), out);
     }
 
     fn run_ended(&mut self, key: KeyDigest, end: RunEnd, out: &mut Vec<ClaimAction>) {
@@ -239,34 +238,34 @@
         if entry.state != State::Running {
             return;
         }
-        let presses = std::mem::take(&mut entry.presses);
+        let keyed_calls = std::mem::take(&mut entry.keyed_calls);
         let reply = match end {
             RunEnd::Ran(answer) => {
                 entry.state = State::Finished(answer.trimmed());
-                PressReply::Ran(answer)
+                KeyedCallReply::Ran(answer)
             }
             RunEnd::NeverStarted { code } => {
                 self.entries.remove(&key);
-                PressReply::NotRun { code }
+                KeyedCallReply::NotRun { code }
             }
             RunEnd::Unknown { code } => {
                 entry.state = State::Lost;
-                PressReply::Unknown { code }
+                KeyedCallReply::Unknown { code }
             }
         };
         self.dirty = true;
-        for press in presses {
-            self.reply(press, reply.clone(), out);
+        for id in keyed_calls {
+            self.reply(id, reply.clone(), out);
         }
-        if self.hold == Hold::Away {
-            // The page has another home now; only that one speaks for the key from here on.
+        if self.hold == Hold::NotHeld {
+            // The page has another home now, which alone decides on the key from here on.
             self.entries.remove(&key);
         }
     }
 
-    fn admit_arrived(&mut self, now_s: u64, out: &mut Vec<ClaimAction>) {
-        for arrived in std::mem::take(&mut self.arrived) {
-            self.admit(arrived, now_s, out);
+    fn admit_pending(&mut self, now_s: u64, out: &mut Vec<ClaimAction>) {
+        for pending in std::mem::take(&mut self.pending) {
+            self.admit(pending, now_s, out);
         }
     }
 
@@ -274,47 +273,48 @@
         self.outage = true;
         match self.hold {
             Hold::Reading => {
-                self.hold = Hold::Away;
+                self.hold = Hold::NotHeld;
                 self.outage = false;
-                self.refuse_arrived(out);
+                self.refuse_pending(out);
             }
-            Hold::Unsure => self.do_without_store(out),
+            Hold::Uncertain => self.handle_outage(out),
             Hold::Reporting => self.retry_later(out),
-            Hold::Away | Hold::Held { .. } | Hold::Writing { .. } => {}
+            Hold::NotHeld | Hold::Held { .. } | Hold::Writing { .. } => {}
         }
     }
 
     fn wrote(&mut self, position: Position, out: &mut Vec<ClaimAction>) {
-        let Hold::Writing { purpose, doubted, .. } = self.hold else {
+        let Hold::Writing { purpose, is_suspect, .. } = self.hold else {
             return;
         };
         self.outage = false;
         let claimed = std::mem::take(&mut self.in_write);
         match purpose {
-            // What this node knows is kept as long as it lives: the page may still be lost with what it says.
-            Purpose::HandOver => return self.leave(out),
-            // Whoever is the home now reads what was reported, and this node sees that it is there.
+            // The records stay in memory after the hand-over, because a store rollback may still lose the page.
+            Purpose::HandOver => return self.drop_hold(out),
+            // The current home reads the reported keys with the page. This node reads it as well to verify that they
+            // are there.
             Purpose::Report => return self.read_for_report(out),
-            Purpose::Keep => {}
+            Purpose::Update => {}
         }
         self.confirmed = true;
-        self.doubted = doubted;
+        self.is_suspect = is_suspect;
         self.held_in_store = self.rule.held;
         self.run_fresh(&claimed, out);
-        if doubted {
+        if is_suspect {
             // The write may have taken effect before the pause, and a takeover after it.
             return self.read_as_home(out);
         }
         self.hold = Hold::Held { position };
     }
 
-    /// Reads the page to find out whether this node still is its home.
+    /// Reads the page to find out whether this node is still its home.
     fn read_as_home(&mut self, out: &mut Vec<ClaimAction>) {
-        self.hold = Hold::Unsure;
+        self.hold = Hold::Uncertain;
         out.push(ClaimAction::Read);
     }
 
-    /// Reads the page to find out whether it lacks what this node knows.
+    /// Reads the page to find out whether it lacks keys that this node has recorded.
     fn read_for_report(&mut self, out: &mut Vec<ClaimAction>) {
         self.hold = Hold::Reporting;
         out.push(ClaimAction::Read);
@@ -323,7 +323,7 @@
     fn release(&mut self, out: &mut Vec<ClaimAction>) {
         self.releasing = true;
         if self.holds() {
-            self.refuse_arrived(out);
+            self.refuse_pending(out);
         }
     }
 
@@ -332,15 +332,15 @@
             let Some(entry) = self.entries.get_mut(&key) else {
                 continue;
             };
-            let (State::Fresh, Some(&press)) = (&entry.state, entry.presses.first()) else {
+            let (State::Fresh, Some(&id)) = (&entry.state, entry.keyed_calls.first()) else {
                 continue;
             };
             entry.state = State::Running;
-            out.push(ClaimAction::Run { key, press });
+            out.push(ClaimAction::Run { key, id });
         }
     }
 
-    fn refused(&mut self, out: &mut Vec<ClaimAction>) {
+    fn write_refused(&mut self, out: &mut Vec<ClaimAction>) {
         let Hold::Writing { purpose, .. } = self.hold else {
             return;
         };
@@ -348,7 +348,7 @@
         if purpose == Purpose::Report {
             return self.read_for_report(out);
         }
-        // A late write of this home's own may have come first, so the page tells who holds it.
+        // An earlier write of this node may have taken effect late, so the page is read to find out its home.
         self.dirty = true;
         self.read_as_home(out);
     }
@@ -362,13 +362,14 @@
             self.hold = Hold::Reporting;
             return self.retry_later(out);
         }
-        self.hold = Hold::Unsure;
+        self.hold = Hold::Uncertain;
         self.dirty = true;
-        self.do_without_store(out);
+        self.handle_outage(out);
     }
 
-    /// Ends at once what would have to wait for a store that is away, or runs it on claims in memory.
-    fn do_without_store(&mut self, out: &mut Vec<ClaimAction>) {
+    /// Runs the waiting calls on claims in memory where the page allows it, and otherwise ends them at once instead of
+    /// waiting for the store.
+    fn handle_outage(&mut self, out: &mut Vec<ClaimAction>) {
         self.outage = true;
         if self.held_in_store {
             let keys: Vec<KeyDigest> = self.entries.keys().copied().collect();
@@ -378,25 +379,25 @@
         self.retry_later(out);
     }
 
-    /// Sends away every press that came before it was known who the home is.
-    fn refuse_arrived(&mut self, out: &mut Vec<ClaimAction>) {
-        for arrived in std::mem::take(&mut self.arrived) {
-            self.reply(arrived.press, not_home(Code::ClaimNotKept), out);
+    /// Refuses every call that waits until the home is known.
+    fn refuse_pending(&mut self, out: &mut Vec<ClaimAction>) {
+        for pending in std::mem::take(&mut self.pending) {
+            self.reply(pending.id, not_home(Code::ClaimNotKept), out);
         }
     }
 
-    /// Ends every press whose claim is not durable: what was not started never will be.
+    /// Ends every call whose claim is not in the store yet. Calls that have not started never will.
     fn refuse_fresh(&mut self, out: &mut Vec<ClaimAction>) {
         let mut refused = Vec::new();
         self.entries.retain(|_, entry| {
             let fresh = entry.state == State::Fresh;
             if fresh {
-                refused.append(&mut entry.presses);
+                refused.append(&mut entry.keyed_calls);
             }
             !fresh
         });
-        for press in refused {
-            self.reply(press, self.not_run(Code::ClaimNotKept), out);
+        for id in refused {
+            self.reply(id, self.not_run(Code::ClaimNotKept), out);
         }
     }
 
@@ -408,31 +409,31 @@
     }
 
     fn acquire(&mut self, out: &mut Vec<ClaimAction>) {
-        if self.hold == Hold::Away && !self.releasing {
+        if self.hold == Hold::NotHeld && !self.releasing {
             self.start_read(out);
         }
     }
 
-    /// Takes into account that this node may have been taken for dead.
-    fn doubt(&mut self, out: &mut Vec<ClaimAction>) {
+    /// Handles that other nodes may have taken this node for dead.
+    fn suspect_hold(&mut self, out: &mut Vec<ClaimAction>) {
         match self.hold {
             Hold::Held { .. } => {
-                self.doubted = true;
+                self.is_suspect = true;
                 self.read_as_home(out);
             }
             Hold::Writing { expected, purpose, .. } => {
-                self.doubted = true;
-                self.hold = Hold::Writing { expected, purpose, doubted: true };
+                self.is_suspect = true;
+                self.hold = Hold::Writing { expected, purpose, is_suspect: true };
             }
-            Hold::Unsure => self.doubted = true,
-            Hold::Away if !self.entries.is_empty() => self.read_for_report(out),
-            Hold::Away | Hold::Reading | Hold::Reporting => {}
+            Hold::Uncertain => self.is_suspect = true,
+            Hold::NotHeld if !self.entries.is_empty() => self.read_for_report(out),
+            Hold::NotHeld | Hold::Reading | Hold::Reporting => {}
         }
     }
 
     fn retry(&mut self, out: &mut Vec<ClaimAction>) {
         self.retry_due = false;
-        if matches!(self.hold, Hold::Unsure | Hold::Reporting) {
+        if matches!(self.hold, Hold::Uncertain | Hold::Reporting) {
             out.push(ClaimAction::Read);
         }
     }
@@ -442,7 +443,7 @@
         out.push(ClaimAction::Read);
     }
 
-    /// Lets what no caller waits for ride on the next claim, or go by itself after a while.
+    /// Writes changes that no caller waits for together with the next claim, or on their own after a pause.
     fn flush_later(&mut self, out: &mut Vec<ClaimAction>) {
         if !self.flush_due {
             self.flush_due = true;
@@ -476,15 +477,15 @@
         if self.releasing && !self.dirty && !hand_over {
             return;
         }
-        self.forget_old(now_s);
+        self.remove_expired(now_s);
         self.dirty = false;
         self.urgent = false;
-        let purpose = if hand_over { Purpose::HandOver } else { Purpose::Keep };
-        self.hold = Hold::Writing { expected: position, purpose, doubted: false };
+        let purpose = if hand_over { Purpose::HandOver } else { Purpose::Update };
+        self.hold = Hold::Writing { expected: position, purpose, is_suspect: false };
         out.push(ClaimAction::Write { expected: position, page: self.page(hand_over) });
     }
 
-    fn forget_old(&mut self, now_s: u64) {
+    fn remove_expired(&mut self, now_s: u64) {
         let lifetime_s = self.rule.lifetime_s;
         self.entries.retain(|_, entry| {
             matches!(entry.state, State::Fresh | State::Running) || now_s <= entry.claimed_s + lifetime_s
@@ -496,30 +497,30 @@
             home: if hand_over { None } else { Some(self.me.clone()) },
             term: self.term,
             held: self.rule.held,
-            blind_until_s: self.unsure_until_s(),
+            blind_until_s: self.uncertain_until_s(),
             entries: self.entries.iter().map(|(&key, entry)| entry.written(key)).collect(),
         }
     }
 
-    /// Says that a press did not run, unless another home may have run the key unseen.
-    fn not_run(&self, code: Code) -> PressReply {
-        if self.doubted { not_home(Code::ClaimNotKept) } else { PressReply::NotRun { code } }
+    /// Returns the reply for a call that did not run, unless another home may have run the key unnoticed.
+    fn not_run(&self, code: Code) -> KeyedCallReply {
+        if self.is_suspect { not_home(Code::ClaimNotKept) } else { KeyedCallReply::NotRun { code } }
     }
 
-    fn reply(&self, press: PressId, reply: PressReply, out: &mut Vec<ClaimAction>) {
-        out.push(ClaimAction::Reply { press, reply });
+    fn reply(&self, id: KeyedCallId, reply: KeyedCallReply, out: &mut Vec<ClaimAction>) {
+        out.push(ClaimAction::Reply { id, reply });
     }
 }
 
-/// A page as it was read.
+/// Result of reading a page.
 struct PageRead {
     position: Position,
     page: Option<Page>,
-    /// Whether it is known that the store has not come back from a copy since the page was written.
+    /// Whether the store is known not to have been rolled back since the page was written.
     complete: bool,
     holder: Holder,
 }
 
-const fn not_home(code: Code) -> PressReply {
-    PressReply::NotHome { code }
+const fn not_home(code: Code) -> KeyedCallReply {
+    KeyedCallReply::NotHome { code }
 }
--- a/valetrack/src/claim/tests.rs
+++ b/valetrack/src/claim/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of claims: a small world of two homes and one store, searched to a depth and at random.
+//! Tests of claims: single decisions, and a simulation of two homes and one store that is searched exhaustively to a
+//! depth and with random walks.
 
 mod continuity;
 mod events;
--- a/valetrack/src/claim/tests/continuity.rs
+++ b/valetrack/src/claim/tests/continuity.rs
@@ -1,61 +1,68 @@
-//! What proves that the store has not come back from a copy, and who may know what a page lacks.
+//! Tests of the proof that the store was not rolled back, and of the recovery of a page's gap.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::claim::continuity::{Answered, Attestation, Continuity, Course};
-use crate::claim::recovery::{Finding, Lives, OpenGap, Recovery};
+use crate::claim::continuity::{Attestation, ClaimOutcome, Continuity, StoreAnswer};
+use crate::claim::recovery::{GapStatus, OpenGap, Recovery, VmIncarnations};
 use crate::claim::{ClaimNews, PeerNews};
 use crate::member::{Member, Members, Phase};
 use crate::store::{Era, HistoryName, Position};
 
 const SILENT_US: u64 = 2_500_000;
-/// A moment at which a gap opens, in microseconds.
+/// Time at which a gap opens.
 const OPENED_US: u64 = 100_000_000;
 
 fn at(era: u64, revision: u64) -> Position {
     Position::new(Era::new(era), revision)
 }
 
-fn answered(at: Position, sent_us: u64) -> Answered {
-    Answered { at, history: Some(HistoryName(1)), sent_us }
+fn answer_at(at: Position, sent_us: u64) -> StoreAnswer {
+    StoreAnswer { at, history: Some(HistoryName(1)), sent_us }
 }
 
-fn told(since_revision: u64, latest_revision: u64, verified_ago_us: u64) -> Attestation {
+fn attestation(since_revision: u64, latest_revision: u64, verified_ago_us: u64) -> Attestation {
     Attestation { since_revision, latest_revision, verified_ago_us }
 }
 
-/// Returns what a node knows that was first answered at revision 50, at 1,000 us.
+/// Returns the history after a first answer at revision 50, which arrived at 1,000 us.
 fn connected() -> Continuity {
     let mut continuity = Continuity::default();
-    assert_eq!(continuity.answered(answered(at(1, 50), 900), 1_000), Course::Unbroken);
+    assert_eq!(continuity.record_answer(answer_at(at(1, 50), 900), 1_000), ClaimOutcome::Unbroken);
     continuity
 }
 
 #[test]
-fn a_connection_proves_what_was_written_while_it_lasted() {
+fn connection_covers_writes_made_while_it_was_open() {
     let mut continuity = connected();
-    assert_eq!(continuity.answered(answered(at(1, 70), 2_000), 2_100), Course::Unbroken);
+    assert_eq!(continuity.record_answer(answer_at(at(1, 70), 2_000), 2_100), ClaimOutcome::Unbroken);
     assert!(continuity.covers(at(1, 51)) && !continuity.covers(at(1, 50)) && !continuity.covers(at(2, 70)));
-    assert_eq!(continuity.answered(answered(at(2, 71), 3_000), 3_100), Course::Reconnected);
+    assert_eq!(continuity.record_answer(answer_at(at(2, 71), 3_000), 3_100), ClaimOutcome::Reconnected);
     assert!(!continuity.covers(at(2, 71)) && !continuity.is_first());
 }
 
 #[test]
-fn a_lower_revision_or_another_name_shows_a_return_though_the_connection_lasts() {
+fn lower_revision_or_other_name_proves_rollback() {
     let mut continuity = connected();
-    assert_eq!(continuity.answered(answered(at(1, 49), 2_000), 2_100), Course::Returned);
-    let renamed = Answered { history: Some(HistoryName(2)), ..answered(at(1, 60), 2_000) };
-    assert_eq!(continuity.answered(renamed, 2_100), Course::Returned);
+    assert_eq!(continuity.record_answer(answer_at(at(1, 49), 2_000), 2_100), ClaimOutcome::RolledBack);
+    let renamed = StoreAnswer { history: Some(HistoryName(2)), ..answer_at(at(1, 60), 2_000) };
+    assert_eq!(continuity.record_answer(renamed, 2_100), ClaimOutcome::RolledBack);
 }
 
 #[test]
-fn others_prove_what_was_before_if_their_connection_overlaps() {
+fn attestation_of_overlapping_connection_extends_history_back() {
     let mut continuity = connected();
-    assert!(!continuity.attested(told(10, 50, 600), 1_500), "it was last seen before the own connection began");
-    assert!(continuity.attested(told(10, 80, 400), 1_500));
+    assert!(
+        !continuity.apply_attestation(attestation(10, 50, 600), 1_500),
+        "the other connection was last verified before this one began"
+    );
+    assert!(continuity.apply_attestation(attestation(10, 80, 400), 1_500));
     assert!(continuity.covers(at(1, 11)));
-    assert_eq!(continuity.answered(answered(at(1, 60), 2_000), 2_100), Course::Returned, "others have seen 80");
+    assert_eq!(
+        continuity.record_answer(answer_at(at(1, 60), 2_000), 2_100),
+        ClaimOutcome::RolledBack,
+        "the attestation includes revision 80"
+    );
 }
 
 fn member(vm: &str, incarnation: u64, phase: Phase) -> Member {
@@ -72,38 +79,38 @@
     }
 }
 
-struct Scene {
+struct Fixture {
     members: Members,
-    lives: Lives,
+    incarnations: VmIncarnations,
     continuity: Continuity,
 }
 
-impl Scene {
-    /// Returns two nodes, a that judges and b, after both have lost touch with the store.
+impl Fixture {
+    /// Returns node a, which assesses the gap, and node b, after both have lost their connection to the store.
     fn new() -> Self {
         let mut continuity = connected();
-        continuity.answered(answered(at(2, 60), OPENED_US - 10), OPENED_US);
-        let mut scene = Self { members: Members::default(), lives: Lives::default(), continuity };
-        scene.hear("b", 1, Phase::Serving, OPENED_US);
-        scene
+        continuity.record_answer(answer_at(at(2, 60), OPENED_US - 10), OPENED_US);
+        let mut fixture = Self { members: Members::default(), incarnations: VmIncarnations::default(), continuity };
+        fixture.add_member("b", 1, Phase::Serving, OPENED_US);
+        fixture
     }
 
-    fn hear(&mut self, vm: &str, incarnation: u64, phase: Phase, now_us: u64) {
+    fn add_member(&mut self, vm: &str, incarnation: u64, phase: Phase, now_us: u64) {
         let member = member(vm, incarnation, phase);
         self.members.merge(&member);
         self.members.heard(&member.vm, now_us);
-        self.lives.look(self.members.iter(), now_us);
+        self.incarnations.update(self.members.iter(), now_us);
     }
 
-    fn say(&mut self, vm: &str, asked_us: u64, remembers: u8, is_first_contact: bool) {
+    fn report(&mut self, vm: &str, asked_us: u64, remembers: u8, is_first_contact: bool) {
         let news = ClaimNews { remembers, is_first_contact, ..ClaimNews::default() };
-        let heard = PeerNews { incarnation: 1, asked_us, news };
-        self.members.claims_mut().reply(&Arc::from(vm), heard, asked_us);
+        let peer = PeerNews { incarnation: 1, asked_us, news };
+        self.members.claims_mut().reply(&Arc::from(vm), peer, asked_us);
     }
 
-    fn assess(&self, gap: &OpenGap, now_us: u64) -> Finding {
-        let Self { members, lives, continuity } = self;
-        let recovery = Recovery { me: "a", service: "s", members, lives, continuity, silent_us: SILENT_US };
+    fn assess(&self, gap: &OpenGap, now_us: u64) -> GapStatus {
+        let Self { members, incarnations, continuity } = self;
+        let recovery = Recovery { me: "a", service: "s", members, incarnations, continuity, silent_us: SILENT_US };
         recovery.assess(0, gap, now_us)
     }
 }
@@ -115,53 +122,61 @@
         found: Some(at(2, 40)),
         was_home: true,
         confirmed_us: OPENED_US - 1_000,
-        is_blind: false,
+        has_wait_ended: false,
     }
 }
 
 #[test]
-fn a_home_waits_until_every_other_node_has_spoken() {
-    let mut scene = Scene::new();
-    assert_eq!(scene.assess(&gap_of_home(), OPENED_US + 10), Finding::Waiting);
-    scene.say("b", OPENED_US - 1, 0, false);
-    assert_eq!(scene.assess(&gap_of_home(), OPENED_US + 10), Finding::Waiting, "it spoke before the gap opened");
-    scene.say("b", OPENED_US + 1, 1, false);
-    assert_eq!(scene.assess(&gap_of_home(), OPENED_US + 10), Finding::Waiting, "it knows something of the page");
-    scene.say("b", OPENED_US + 2, 2, false);
-    assert_eq!(scene.assess(&gap_of_home(), OPENED_US + 10), Finding::AllAnswered);
+fn home_waits_until_every_other_node_has_reported() {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.assess(&gap_of_home(), OPENED_US + 10), GapStatus::Waiting);
+    fixture.report("b", OPENED_US - 1, 0, false);
+    assert_eq!(fixture.assess(&gap_of_home(), OPENED_US + 10), GapStatus::Waiting, "the report is older than the gap");
+    fixture.report("b", OPENED_US + 1, 1, false);
+    assert_eq!(
+        fixture.assess(&gap_of_home(), OPENED_US + 10),
+        GapStatus::Waiting,
+        "node b has recorded keys of the page"
+    );
+    fixture.report("b", OPENED_US + 2, 2, false);
+    assert_eq!(fixture.assess(&gap_of_home(), OPENED_US + 10), GapStatus::AllAnswered);
 }
 
 #[test]
-fn whoever_is_silent_or_over_cannot_speak() {
-    let mut scene = Scene::new();
-    let silent = scene.assess(&gap_of_home(), OPENED_US + SILENT_US + 1);
-    assert_eq!(silent, Finding::Unreachable(Some(Arc::from("b"))));
-    scene.hear("b", 2, Phase::Serving, OPENED_US + 5);
-    scene.say("b", OPENED_US + 6, 0, false);
-    assert_eq!(scene.assess(&gap_of_home(), OPENED_US + 10), Finding::Unreachable(Some(Arc::from("b"))));
+fn silent_or_dead_node_makes_gap_unreachable() {
+    let mut fixture = Fixture::new();
+    let silent = fixture.assess(&gap_of_home(), OPENED_US + SILENT_US + 1);
+    assert_eq!(silent, GapStatus::Unreachable(Some(Arc::from("b"))));
+    fixture.add_member("b", 2, Phase::Serving, OPENED_US + 5);
+    fixture.report("b", OPENED_US + 6, 0, false);
+    assert_eq!(fixture.assess(&gap_of_home(), OPENED_US + 10), GapStatus::Unreachable(Some(Arc::from("b"))));
     let confirmed_later = OpenGap { confirmed_us: OPENED_US + 6, ..gap_of_home() };
-    assert_eq!(scene.assess(&confirmed_later, OPENED_US + 10), Finding::Waiting, "its earlier life ended before that");
+    assert_eq!(
+        fixture.assess(&confirmed_later, OPENED_US + 10),
+        GapStatus::Waiting,
+        "the earlier incarnation of b ended before the confirmation"
+    );
 }
 
 #[test]
-fn a_node_that_was_not_the_home_trusts_the_unbroken_history_alone() {
-    let mut scene = Scene::new();
-    scene.say("b", OPENED_US + 1, 0, true);
+fn newcomer_closes_gap_only_by_unbroken_history() {
+    let mut fixture = Fixture::new();
+    fixture.report("b", OPENED_US + 1, 0, true);
     let gap = OpenGap { was_home: false, ..gap_of_home() };
-    assert_eq!(scene.assess(&gap, OPENED_US + 10), Finding::Waiting);
-    assert_eq!(scene.assess(&gap, OPENED_US + 2_000_000), Finding::Unreachable(None));
-    scene.continuity.attested(told(30, 60, 0), OPENED_US + 1);
-    assert_eq!(scene.assess(&gap, OPENED_US + 10), Finding::Unbroken);
+    assert_eq!(fixture.assess(&gap, OPENED_US + 10), GapStatus::Waiting);
+    assert_eq!(fixture.assess(&gap, OPENED_US + 2_000_000), GapStatus::Unreachable(None));
+    fixture.continuity.apply_attestation(attestation(30, 60, 0), OPENED_US + 1);
+    assert_eq!(fixture.assess(&gap, OPENED_US + 10), GapStatus::Unbroken);
 }
 
 #[test]
-fn a_page_that_never_was_is_new_while_no_node_has_lost_touch() {
-    let mut scene = Scene::new();
+fn missing_page_is_new_while_no_node_has_reconnected() {
+    let mut fixture = Fixture::new();
     let gap = OpenGap { was_home: false, found: Some(at(1, 0)), ..gap_of_home() };
-    scene.say("b", OPENED_US + 1, 0, true);
-    assert_eq!(scene.assess(&gap, OPENED_US + 10), Finding::Waiting, "this node has lost touch itself");
-    scene.continuity = connected();
-    assert_eq!(scene.assess(&gap, OPENED_US + 10), Finding::New);
-    scene.say("b", OPENED_US + 2, 0, false);
-    assert_eq!(scene.assess(&gap, OPENED_US + 10), Finding::Waiting, "the other one has");
+    fixture.report("b", OPENED_US + 1, 0, true);
+    assert_eq!(fixture.assess(&gap, OPENED_US + 10), GapStatus::Waiting, "this node has reconnected itself");
+    fixture.continuity = connected();
+    assert_eq!(fixture.assess(&gap, OPENED_US + 10), GapStatus::New);
+    fixture.report("b", OPENED_US + 2, 0, false);
+    assert_eq!(fixture.assess(&gap, OPENED_US + 10), GapStatus::Waiting, "node b has reconnected");
 }
--- a/valetrack/src/claim/tests/events.rs
+++ b/valetrack/src/claim/tests/events.rs
@@ -1,19 +1,19 @@
-//! What tests of single decisions feed to a page.
+//! Events for the tests of single decisions.
 
 use std::sync::Arc;
 
-use crate::claim::{ClaimAction, ClaimEvent, Home, KeyDigest, PageHome, PressId};
+use crate::claim::{ClaimAction, ClaimEvent, Home, KeyDigest, KeyedCallId, PageHome};
 
 pub const KEY: KeyDigest = KeyDigest([1; 16]);
-/// The moment of every event, in seconds.
+/// Time of every event.
 pub const NOW_S: u64 = 5_000;
 
 pub fn home(vm: &str) -> Home {
     Home { vm: Arc::from(vm), incarnation: 1 }
 }
 
-/// Feeds events one after the other; returns the actions of the last one.
-pub fn feed(page: &mut PageHome, events: impl IntoIterator<Item = ClaimEvent>) -> Vec<ClaimAction> {
+/// Delivers events in order and returns the actions of the last one.
+pub fn deliver(page: &mut PageHome, events: impl IntoIterator<Item = ClaimEvent>) -> Vec<ClaimAction> {
     let mut last = Vec::new();
     for event in events {
         last.clear();
@@ -22,6 +22,6 @@
     last
 }
 
-pub fn press(number: u64, key: KeyDigest) -> ClaimEvent {
-    ClaimEvent::Press { press: PressId(number), key, call: 7 }
+pub fn keyed_call(number: u64, key: KeyDigest) -> ClaimEvent {
+    ClaimEvent::KeyedCall { id: KeyedCallId(number), key, call: 7 }
 }
--- a/valetrack/src/claim/tests/model.rs
+++ b/valetrack/src/claim/tests/model.rs
@@ -1,19 +1,19 @@
-//! Exhaustive search of the world, breadth first, to a stated depth.
+//! Exhaustive breadth-first search of the simulation to a given depth.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use test_case::test_case;
 
-use super::world::{Kind, Left, Step, World};
+use super::world::{Remaining, Scenario, Simulation, Step};
 
-fn fingerprint(world: &World) -> u64 {
+fn fingerprint(simulation: &Simulation) -> u64 {
     let mut hasher = DefaultHasher::new();
-    world.hash(&mut hasher);
+    simulation.hash(&mut hasher);
     hasher.finish()
 }
 
-/// What a search has seen.
+/// Counters of a search.
 #[derive(Debug)]
 struct Searched {
     states: usize,
@@ -24,20 +24,20 @@
 ///
 /// # Panics
 ///
-/// Panics with the broken promise and the number of steps that led to it.
-fn search(start: World, depth: usize) -> Searched {
+/// Panics with the violation and the number of steps that led to it.
+fn search(start: Simulation, depth: usize) -> Searched {
     let mut seen = HashSet::from([fingerprint(&start)]);
     let mut frontier = vec![(start, Vec::new())];
     let mut searched = Searched { states: 1, with_run: 0 };
     for _ in 0..depth {
         let mut next = Vec::new();
-        for (world, path) in &frontier {
-            for step in world.steps() {
-                let mut after = world.clone();
+        for (simulation, path) in &frontier {
+            for step in simulation.steps() {
+                let mut after = simulation.clone();
                 let mut path: Vec<Step> = path.clone();
                 path.push(step);
-                if let Err(broken) = after.apply(step) {
-                    panic!("after {} steps: {broken}: {path:?}", path.len());
+                if let Err(violation) = after.apply(step) {
+                    panic!("after {} steps: {violation}: {path:?}", path.len());
                 }
                 if seen.insert(fingerprint(&after)) {
                     searched.states += 1;
@@ -51,8 +51,8 @@
     searched
 }
 
-const LEFT: Left = Left {
-    presses: 2,
+const NO_FAULTS: Remaining = Remaining {
+    keyed_calls: 2,
     pauses: 0,
     kills: 0,
     losses: 0,
@@ -63,22 +63,22 @@
     rollbacks: 0,
     rounds: 0,
 };
-const TRUTHFUL: Kind = Kind { keys: 1, held: false, wild_silence: false };
-const HELD: Kind = Kind { keys: 1, held: true, wild_silence: false };
-const WILD: Kind = Kind { keys: 1, held: false, wild_silence: true };
+const DURABLE: Scenario = Scenario { keys: 1, held: false, false_suspicion: false };
+const HELD: Scenario = Scenario { keys: 1, held: true, false_suspicion: false };
+const FALSE_SUSPICION: Scenario = Scenario { keys: 1, held: false, false_suspicion: true };
 
-#[test_case(TRUTHFUL, Left { pauses: 1, losses: 1, acquires: 1, ..LEFT }, 17; "a pause and a lost answer")]
-#[test_case(TRUTHFUL, Left { kills: 1, losses: 1, acquires: 1, ..LEFT }, 16; "a kill and a lost answer")]
-#[test_case(TRUTHFUL, Left { pauses: 1, kills: 1, ..LEFT }, 17; "a pause and a kill")]
-#[test_case(TRUTHFUL, Left { losses: 2, read_failures: 1, ..LEFT }, 18; "lost answers and a failed read")]
-#[test_case(TRUTHFUL, Left { releases: 1, losses: 1, ..LEFT }, 18; "a hand-over and a lost answer")]
-#[test_case(TRUTHFUL, Left { expiries: 1, pauses: 1, ..LEFT }, 18; "a deadline and a pause")]
-#[test_case(TRUTHFUL, Left { presses: 3, expiries: 1, losses: 1, ..LEFT }, 15; "three presses and a deadline")]
-#[test_case(HELD, Left { kills: 1, losses: 1, acquires: 1, ..LEFT }, 16; "held claims, a kill and a lost answer")]
-#[test_case(HELD, Left { pauses: 1, losses: 1, acquires: 1, ..LEFT }, 17; "held claims, a pause and a lost answer")]
-#[test_case(WILD, Left { losses: 1, ..LEFT }, 18; "homes wrongly taken for silent")]
-fn no_order_of_events_breaks_a_promise(kind: Kind, left: Left, depth: usize) {
-    let searched = search(World::new(kind, left), depth);
-    println!("{searched:?} for {left:?}");
-    assert!(searched.with_run > 100, "the search never got to a run: {searched:?}");
+#[test_case(DURABLE, Remaining { pauses: 1, losses: 1, acquires: 1, ..NO_FAULTS }, 17; "pause and lost answer")]
+#[test_case(DURABLE, Remaining { kills: 1, losses: 1, acquires: 1, ..NO_FAULTS }, 16; "kill and lost answer")]
+#[test_case(DURABLE, Remaining { pauses: 1, kills: 1, ..NO_FAULTS }, 17; "pause and kill")]
+#[test_case(DURABLE, Remaining { losses: 2, read_failures: 1, ..NO_FAULTS }, 18; "lost answers and failed read")]
+#[test_case(DURABLE, Remaining { releases: 1, losses: 1, ..NO_FAULTS }, 18; "hand-over and lost answer")]
+#[test_case(DURABLE, Remaining { expiries: 1, pauses: 1, ..NO_FAULTS }, 18; "deadline and pause")]
+#[test_case(DURABLE, Remaining { keyed_calls: 3, expiries: 1, losses: 1, ..NO_FAULTS }, 15; "three calls and deadline")]
+#[test_case(HELD, Remaining { kills: 1, losses: 1, acquires: 1, ..NO_FAULTS }, 16; "held claims, kill and lost answer")]
+#[test_case(HELD, Remaining { pauses: 1, losses: 1, acquires: 1, ..NO_FAULTS }, 17; "held claims, pause and lost answer")]
+#[test_case(FALSE_SUSPICION, Remaining { losses: 1, ..NO_FAULTS }, 18; "false suspicion of running homes")]
+fn no_order_of_events_violates_at_most_once(scenario: Scenario, remaining: Remaining, depth: usize) {
+    let searched = search(Simulation::new(scenario, remaining), depth);
+    println!("{searched:?} for {remaining:?}");
+    assert!(searched.with_run > 100, "the search reached too few runs: {searched:?}");
 }
--- a/valetrack/src/claim/tests/search.rs
+++ b/valetrack/src/claim/tests/search.rs
@@ -1,31 +1,31 @@
-//! Random walks of the world: far longer than the exhaustive search, with more trouble at once.
+//! Random walks of the simulation. They are far longer than the exhaustive search and combine more faults.
 
 use proptest::prelude::*;
 
-use super::world::{Kind, Left, World};
+use super::world::{Remaining, Scenario, Simulation};
 
 const STEPS: usize = 120;
 
-fn walk(kind: Kind, left: Left, choices: &[u32]) -> Result<World, TestCaseError> {
-    let mut world = World::new(kind, left);
-    let mut taken = Vec::new();
+fn walk(scenario: Scenario, remaining: Remaining, choices: &[u32]) -> Result<Simulation, TestCaseError> {
+    let mut simulation = Simulation::new(scenario, remaining);
+    let mut steps_taken = Vec::new();
     for &choice in choices {
-        let steps = world.steps();
+        let steps = simulation.steps();
         let Some(&step) = steps.get(choice as usize % steps.len().max(1)) else {
             break;
         };
-        taken.push(step);
-        if let Err(broken) = world.apply(step) {
-            return Err(TestCaseError::fail(format!("{broken} after {taken:#?}")));
+        steps_taken.push(step);
+        if let Err(violation) = simulation.apply(step) {
+            return Err(TestCaseError::fail(format!("{violation} after {steps_taken:#?}")));
         }
     }
-    Ok(world)
+    Ok(simulation)
 }
 
-fn left() -> impl Strategy<Value = Left> {
+fn remaining() -> impl Strategy<Value = Remaining> {
     (1..12u8, 0..4u8, 0..4u8, 0..6u8, 0..4u8, 0..2u8, 0..4u8, 0..3u8).prop_map(
-        |(presses, pauses, kills, losses, read_failures, releases, expiries, acquires)| Left {
-            presses,
+        |(keyed_calls, pauses, kills, losses, read_failures, releases, expiries, acquires)| Remaining {
+            keyed_calls,
             pauses,
             kills,
             losses,
@@ -52,71 +52,73 @@
     #![proptest_config(config())]
 
     #[test]
-    fn durable_claims_hold_in_any_walk(
-        left in left(),
+    fn durable_claims_run_at_most_once_in_random_walks(
+        remaining in remaining(),
         keys in 1..4u8,
         choices in prop::collection::vec(any::<u32>(), STEPS),
     ) {
-        walk(Kind { keys, held: false, wild_silence: false }, left, &choices)?;
+        walk(Scenario { keys, held: false, false_suspicion: false }, remaining, &choices)?;
     }
 
     #[test]
-    fn held_claims_hold_in_any_walk(
-        left in left(),
+    fn held_claims_run_at_most_once_in_random_walks(
+        remaining in remaining(),
         keys in 1..4u8,
         choices in prop::collection::vec(any::<u32>(), STEPS),
     ) {
-        walk(Kind { keys, held: true, wild_silence: false }, left, &choices)?;
+        walk(Scenario { keys, held: true, false_suspicion: false }, remaining, &choices)?;
     }
 
-    /// A key ran twice. The store came back from a copy that lacked the key's claim; another node took the page over as the
-    /// copy had it, or wrote on a revision that the store had given out again, and the key was new to it, though a home
-    /// lived that had run it. On real nodes both runs show: `claim.run` of one page at two nodes, 17 of 60 keys.
+    /// Guards against a key that runs twice after a store rollback. The store was restored from an older copy without
+    /// the key's claim. Another node took the page over as the copy had it, or wrote on a reused revision, and the key
+    /// was new to it although the home that had run it was still alive. On real nodes, `claim.run` of the same page
+    /// appeared at two nodes for 17 of 60 keys.
     ///
-    /// The store names no eras here. A return breaks the connections of all nodes, and that is what their positions count:
-    /// a write on what was read before the return is not made, and a page from before it is no proof that a key is new.
+    /// This store doesn't count its rollbacks. A rollback breaks the connections of all nodes, and positions count
+    /// connections: a write on a position from before the rollback is not sent, and a page from before it is no proof
+    /// that a key is new.
     #[test]
-    fn claims_hold_while_the_store_comes_back_older_and_homes_live(
-        left in left(),
+    fn store_rollback_with_live_homes_causes_no_second_run(
+        remaining in remaining(),
         keys in 1..4u8,
         choices in prop::collection::vec(any::<u32>(), STEPS),
     ) {
-        let left = Left { kills: 0, rollbacks: 2, ..left };
-        walk(Kind { keys, held: false, wild_silence: true }, left, &choices)?;
+        let remaining = Remaining { kills: 0, rollbacks: 2, ..remaining };
+        walk(Scenario { keys, held: false, false_suspicion: true }, remaining, &choices)?;
     }
 
     #[test]
-    fn runs_happen_at_most_once_even_when_time_lies(
-        left in left(),
+    fn false_suspicion_of_homes_causes_no_second_run(
+        remaining in remaining(),
         keys in 1..4u8,
         choices in prop::collection::vec(any::<u32>(), STEPS),
     ) {
-        walk(Kind { keys, held: false, wild_silence: true }, left, &choices)?;
+        walk(Scenario { keys, held: false, false_suspicion: true }, remaining, &choices)?;
     }
 
-    /// As above, but nodes hear what the others know, so that pages become whole again.
+    /// As above, but nodes also report their records, so that gaps are closed.
     #[test]
-    fn claims_hold_while_nodes_tell_what_the_store_has_lost(
-        left in left(),
+    fn store_rollback_with_reports_causes_no_second_run(
+        remaining in remaining(),
         keys in 1..4u8,
         held in any::<bool>(),
         rounds in 1..6u8,
         choices in prop::collection::vec(any::<u32>(), STEPS),
     ) {
-        let left = Left { kills: 0, rollbacks: 2, rounds, ..left };
-        walk(Kind { keys, held, wild_silence: true }, left, &choices)?;
+        let remaining = Remaining { kills: 0, rollbacks: 2, rounds, ..remaining };
+        walk(Scenario { keys, held, false_suspicion: true }, remaining, &choices)?;
     }
 
-    /// Nodes are killed as well: whoever is over tells nothing any more.
+    /// Nodes are killed as well, and a dead node reports nothing.
     #[test]
-    fn claims_hold_while_nodes_are_killed_and_the_store_comes_back_older(
-        left in left(),
+    fn store_rollback_with_killed_nodes_causes_no_second_run(
+        remaining in remaining(),
         keys in 1..4u8,
         held in any::<bool>(),
         rounds in 0..6u8,
         choices in prop::collection::vec(any::<u32>(), STEPS),
     ) {
-        let left = Left { rollbacks: 2, rounds, ..left };
-        walk(Kind { keys, held, wild_silence: true }, left, &choices)?;
+        let remaining = Remaining { rollbacks: 2, rounds, ..remaining };
+        walk(Scenario { keys, held, false_suspicion: true }, remaining, &choices)?;
     }
 }
--- a/valetrack/src/claim/tests/steps.rs
+++ b/valetrack/src/claim/tests/steps.rs
@@ -1,14 +1,14 @@
-//! Single decisions of a home, one by one.
+//! Tests of single decisions of a home.
 
 use std::sync::Arc;
 
 use test_case::test_case;
 
-use super::events::{KEY, NOW_S, feed, home, press};
+use super::events::{KEY, NOW_S, deliver, home, keyed_call};
 use crate::claim::rank::{PAGES, digest, page_of, rank};
 use crate::claim::{
-    ClaimAction, ClaimEvent, ClaimRule, Holder, KeptAnswer, KeyDigest, Page, PageEntry, PageHome, PressId, PressReply,
-    Record, RunEnd,
+    ClaimAction, ClaimEvent, ClaimRule, Holder, KeptAnswer, KeyDigest, KeyedCallId, KeyedCallReply, Page, PageEntry,
+    PageHome, Record, RunEnd,
 };
 use crate::code::Code;
 use crate::store::{Era, Position};
@@ -22,11 +22,11 @@
     PageHome::new(home("a"), ClaimRule { lifetime_s: 600, held: false, entries_max: 2 })
 }
 
-fn fresh_page() -> ClaimEvent {
+fn new_page() -> ClaimEvent {
     ClaimEvent::Read { position: at(0), page: None, complete: true, holder: Holder::Alive }
 }
 
-fn reply_of(actions: &[ClaimAction]) -> Option<&PressReply> {
+fn reply_of(actions: &[ClaimAction]) -> Option<&KeyedCallReply> {
     actions.iter().find_map(|action| match action {
         ClaimAction::Reply { reply, .. } => Some(reply),
         _ => None,
@@ -34,101 +34,107 @@
 }
 
 #[test]
-fn a_press_runs_only_after_its_claim_is_confirmed() {
+fn call_runs_only_after_its_claim_is_confirmed() {
     let mut page = page_home();
-    let actions = feed(&mut page, [press(1, KEY), fresh_page()]);
+    let actions = deliver(&mut page, [keyed_call(1, KEY), new_page()]);
     assert!(matches!(actions.as_slice(), [ClaimAction::Write { expected, .. }] if *expected == at(0)), "{actions:?}");
-    let actions = feed(&mut page, [ClaimEvent::Wrote { position: at(4) }]);
-    assert_eq!(actions, [ClaimAction::Run { key: KEY, press: PressId(1) }]);
+    let actions = deliver(&mut page, [ClaimEvent::Wrote { position: at(4) }]);
+    assert_eq!(actions, [ClaimAction::Run { key: KEY, id: KeyedCallId(1) }]);
 }
 
 #[test]
-fn a_second_press_joins_the_first_and_gets_the_same_answer() {
+fn second_call_with_same_key_receives_first_answer() {
     let mut page = page_home();
-    feed(&mut page, [press(1, KEY), fresh_page(), ClaimEvent::Wrote { position: at(4) }]);
-    assert_eq!(feed(&mut page, [press(2, KEY)]), []);
+    deliver(&mut page, [keyed_call(1, KEY), new_page(), ClaimEvent::Wrote { position: at(4) }]);
+    assert_eq!(deliver(&mut page, [keyed_call(2, KEY)]), []);
     let answer = KeptAnswer { status: 201, headers: Vec::new(), body: Some(b"ok".to_vec()) };
-    let actions = feed(&mut page, [ClaimEvent::RunEnded { key: KEY, end: RunEnd::Ran(answer.clone()) }]);
-    let told = actions
-        .iter()
-        .filter(|action| matches!(action, ClaimAction::Reply { reply: PressReply::Ran(said), .. } if *said == answer));
-    assert_eq!(told.count(), 2);
-    let later = feed(&mut page, [press(3, KEY)]);
-    assert_eq!(reply_of(&later), Some(&PressReply::Ran(answer)));
+    let actions = deliver(&mut page, [ClaimEvent::RunEnded { key: KEY, end: RunEnd::Ran(answer.clone()) }]);
+    let replies = actions.iter().filter(
+        |action| matches!(action, ClaimAction::Reply { reply: KeyedCallReply::Ran(kept), .. } if *kept == answer),
+    );
+    assert_eq!(replies.count(), 2);
+    let later = deliver(&mut page, [keyed_call(3, KEY)]);
+    assert_eq!(reply_of(&later), Some(&KeyedCallReply::Ran(answer)));
 }
 
 #[test]
-fn a_key_used_for_another_call_is_refused() {
+fn key_used_for_another_call_is_refused() {
     let mut page = page_home();
-    feed(&mut page, [press(1, KEY), fresh_page()]);
-    let other = ClaimEvent::Press { press: PressId(2), key: KEY, call: 8 };
-    assert_eq!(reply_of(&feed(&mut page, [other])), Some(&PressReply::Reused));
+    deliver(&mut page, [keyed_call(1, KEY), new_page()]);
+    let other = ClaimEvent::KeyedCall { id: KeyedCallId(2), key: KEY, call: 8 };
+    assert_eq!(reply_of(&deliver(&mut page, [other])), Some(&KeyedCallReply::Reused));
 }
 
 #[test]
-fn a_full_page_says_so_and_loses_nothing() {
+fn full_page_refuses_new_key_and_keeps_entries() {
     let mut page = page_home();
-    feed(&mut page, [press(1, KEY), fresh_page(), ClaimEvent::Wrote { position: at(1) }, press(2, KeyDigest([2; 16]))]);
-    let actions = feed(&mut page, [press(3, KeyDigest([3; 16]))]);
-    assert_eq!(reply_of(&actions), Some(&PressReply::NotRun { code: Code::ClaimPageFull }));
+    deliver(
+        &mut page,
+        [keyed_call(1, KEY), new_page(), ClaimEvent::Wrote { position: at(1) }, keyed_call(2, KeyDigest([2; 16]))],
+    );
+    let actions = deliver(&mut page, [keyed_call(3, KeyDigest([3; 16]))]);
+    assert_eq!(reply_of(&actions), Some(&KeyedCallReply::NotRun { code: Code::ClaimPageFull }));
     assert_eq!(page.len(), 2);
 }
 
 #[test]
-fn a_store_that_is_down_ends_presses_at_once() {
+fn unavailable_store_ends_calls_at_once() {
     let mut page = page_home();
-    feed(&mut page, [press(1, KEY), fresh_page(), ClaimEvent::Wrote { position: at(1) }]);
-    feed(&mut page, [press(2, KeyDigest([2; 16]))]);
-    let actions = feed(&mut page, [ClaimEvent::WriteLost]);
-    assert_eq!(reply_of(&actions), Some(&PressReply::NotRun { code: Code::ClaimNotKept }));
-    let actions = feed(&mut page, [press(3, KeyDigest([2; 16]))]);
-    assert_eq!(reply_of(&actions), Some(&PressReply::NotRun { code: Code::ClaimNotKept }));
+    deliver(&mut page, [keyed_call(1, KEY), new_page(), ClaimEvent::Wrote { position: at(1) }]);
+    deliver(&mut page, [keyed_call(2, KeyDigest([2; 16]))]);
+    let actions = deliver(&mut page, [ClaimEvent::WriteLost]);
+    assert_eq!(reply_of(&actions), Some(&KeyedCallReply::NotRun { code: Code::ClaimNotKept }));
+    let actions = deliver(&mut page, [keyed_call(3, KeyDigest([2; 16]))]);
+    assert_eq!(reply_of(&actions), Some(&KeyedCallReply::NotRun { code: Code::ClaimNotKept }));
 }
 
-#[test_case(Holder::Alive, false, false; "a live home keeps its page")]
-#[test_case(Holder::Silent, false, true; "a silent home loses its page")]
-#[test_case(Holder::Over, false, true; "a home that is over loses its page")]
-#[test_case(Holder::Silent, true, false; "a silent home with held claims keeps its page")]
-#[test_case(Holder::Over, true, true; "a home with held claims that is over loses its page")]
-fn a_takeover_asks_what_is_known_of_the_home(holder: Holder, held: bool, taken: bool) {
+#[test_case(Holder::Alive, false, false; "live home keeps its page")]
+#[test_case(Holder::Unresponsive, false, true; "unresponsive home loses its page")]
+#[test_case(Holder::Dead, false, true; "dead home loses its page")]
+#[test_case(Holder::Unresponsive, true, false; "unresponsive home with held claims keeps its page")]
+#[test_case(Holder::Dead, true, true; "dead home with held claims loses its page")]
+fn takeover_depends_on_state_of_the_home(holder: Holder, held: bool, taken: bool) {
     let mut page = page_home();
     let entry = PageEntry { key: KEY, call: 7, claimed_s: NOW_S, record: Record::Claimed };
     let found = Page { home: Some(home("b")), term: 3, held, blind_until_s: 0, entries: vec![entry] };
-    feed(&mut page, [press(1, KEY)]);
-    let actions = feed(&mut page, [ClaimEvent::Read { position: at(9), page: Some(found), complete: true, holder }]);
-    let wrote =
+    deliver(&mut page, [keyed_call(1, KEY)]);
+    let actions = deliver(&mut page, [ClaimEvent::Read { position: at(9), page: Some(found), complete: true, holder }]);
+    let is_written =
         actions.iter().any(|action| matches!(action, ClaimAction::Write { expected, .. } if *expected == at(9)));
-    assert_eq!(wrote, taken, "{actions:?}");
-    let expected =
-        if taken { PressReply::Unknown { code: Code::ClaimUnfinished } } else { PressReply::Moved { home: home("b") } };
+    assert_eq!(is_written, taken, "{actions:?}");
+    let expected = if taken {
+        KeyedCallReply::Unknown { code: Code::ClaimUnfinished }
+    } else {
+        KeyedCallReply::Moved { home: home("b") }
+    };
     assert_eq!(reply_of(&actions), Some(&expected));
 }
 
 #[test]
-fn a_page_taken_from_held_claims_trusts_no_unseen_key() {
+fn takeover_from_held_claims_trusts_no_unknown_key() {
     let mut page = page_home();
     let found = Page { home: Some(home("b")), term: 3, held: true, blind_until_s: 0, entries: Vec::new() };
-    feed(&mut page, [press(1, KEY)]);
-    let actions = feed(
+    deliver(&mut page, [keyed_call(1, KEY)]);
+    let actions = deliver(
         &mut page,
-        [ClaimEvent::Read { position: at(9), page: Some(found), complete: true, holder: Holder::Over }],
+        [ClaimEvent::Read { position: at(9), page: Some(found), complete: true, holder: Holder::Dead }],
     );
-    assert_eq!(reply_of(&actions), Some(&PressReply::Unknown { code: Code::ClaimUnfinished }));
+    assert_eq!(reply_of(&actions), Some(&KeyedCallReply::Unknown { code: Code::ClaimUnfinished }));
 }
 
 #[test]
-fn a_large_answer_is_given_once_and_kept_without_its_body() {
+fn large_answer_is_returned_once_and_kept_without_body() {
     let mut page = page_home();
-    feed(&mut page, [press(1, KEY), fresh_page(), ClaimEvent::Wrote { position: at(4) }]);
+    deliver(&mut page, [keyed_call(1, KEY), new_page(), ClaimEvent::Wrote { position: at(4) }]);
     let answer = KeptAnswer { status: 200, headers: Vec::new(), body: Some(vec![0; 5_000]) };
-    let actions = feed(&mut page, [ClaimEvent::RunEnded { key: KEY, end: RunEnd::Ran(answer.clone()) }]);
-    assert_eq!(reply_of(&actions), Some(&PressReply::Ran(answer)));
-    let later = feed(&mut page, [press(2, KEY)]);
-    assert!(matches!(reply_of(&later), Some(PressReply::Ran(kept)) if kept.body.is_none()));
+    let actions = deliver(&mut page, [ClaimEvent::RunEnded { key: KEY, end: RunEnd::Ran(answer.clone()) }]);
+    assert_eq!(reply_of(&actions), Some(&KeyedCallReply::Ran(answer)));
+    let later = deliver(&mut page, [keyed_call(2, KEY)]);
+    assert!(matches!(reply_of(&later), Some(KeyedCallReply::Ran(kept)) if kept.body.is_none()));
 }
 
 #[test]
-fn pages_share_the_keys_and_nodes_share_the_pages() {
+fn keys_spread_over_pages_and_pages_over_nodes() {
     let mut counts = vec![0u32; usize::from(PAGES)];
     for number in 0..4_000 {
         counts[usize::from(page_of(digest("intake", &number.to_string())))] += 1;
@@ -139,10 +145,11 @@
         let mut nodes: Vec<Arc<str>> = ["a", "b", "c"].map(Arc::from).to_vec();
         rank("intake", page, &mut nodes, Arc::clone);
         firsts.insert(nodes[0].clone());
-        let gone = nodes.remove(0);
-        let mut left: Vec<Arc<str>> = ["a", "b", "c"].map(Arc::from).into_iter().filter(|vm| *vm != gone).collect();
-        rank("intake", page, &mut left, Arc::clone);
-        assert_eq!(left, nodes, "the others keep their order when one goes");
+        let first = nodes.remove(0);
+        let mut remaining: Vec<Arc<str>> =
+            ["a", "b", "c"].map(Arc::from).into_iter().filter(|vm| *vm != first).collect();
+        rank("intake", page, &mut remaining, Arc::clone);
+        assert_eq!(remaining, nodes, "the others keep their order when a node leaves");
     }
     assert_eq!(firsts.len(), 3);
 }
--- a/valetrack/src/claim/tests/world.rs
+++ b/valetrack/src/claim/tests/world.rs
@@ -1,24 +1,24 @@
-//! Two nodes, one store and a network that delays, loses and repeats; every choice is a step.
+//! Simulation of two nodes, one store and a network that delays, loses and repeats messages. Every choice is a step.
 
 use std::sync::Arc;
 
 use crate::claim::{
-    ClaimAction, ClaimEvent, ClaimRule, Holder, Home, KeptAnswer, KeyDigest, Page, PageHome, PressId, PressReply,
-    RunEnd,
+    ClaimAction, ClaimEvent, ClaimRule, Holder, Home, KeptAnswer, KeyDigest, KeyedCallId, KeyedCallReply, Page,
+    PageHome, RunEnd,
 };
 use crate::code::Code;
 use crate::store::{Era, Position};
 
 mod gap;
 
-/// The moment of every step, in seconds; keys do not age in this world.
+/// Time of every step; keys don't expire in the simulation.
 const NOW_S: u64 = 1_000;
 pub const NODES: usize = 2;
 
-/// How often each kind of trouble may still come.
+/// How often each kind of event or fault may still occur.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Left {
-    pub presses: u8,
+pub struct Remaining {
+    pub keyed_calls: u8,
     pub pauses: u8,
     pub kills: u8,
     pub losses: u8,
@@ -26,31 +26,31 @@
     pub releases: u8,
     pub expiries: u8,
     pub acquires: u8,
-    /// Returns of the store from an older copy.
+    /// Store rollbacks.
     pub rollbacks: u8,
-    /// Rounds in which a node hears what the others know of the page.
+    /// Rounds in which a node receives the reports of the others about the page.
     pub rounds: u8,
 }
 
-/// What the world is like.
+/// Fixed parameters of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Kind {
+pub struct Scenario {
     pub keys: u8,
     pub held: bool,
-    /// Whether a home may be taken for silent although it runs; then no word of "not run" can be
-    /// held to, but a run still happens at most once.
-    pub wild_silence: bool,
+    /// Whether a running home may be taken for silent. A "not run" reply is then no guarantee, but a key still runs at
+    /// most once.
+    pub false_suspicion: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum ReadState {
-    Asked,
+    Requested,
     Served { position: Position, page: Option<Page>, complete: bool, holder: Holder },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum WriteState {
-    Asked { expected: Position, page: Page },
+    Requested { expected: Position, page: Page },
     Served { position: Option<Position> },
 }
 
@@ -62,23 +62,24 @@
     read: Option<ReadState>,
     write: Option<WriteState>,
     runs: Vec<KeyDigest>,
-    presses: Vec<(PressId, KeyDigest)>,
+    keyed_calls: Vec<(KeyedCallId, KeyDigest)>,
     retry: bool,
     flush: bool,
     released: bool,
-    /// The era in which all others have said that they know of nothing which the page lacks.
-    told_in: Option<Era>,
-    /// Step at which the last write was asked for that confirmed the node as the home, and that of the write under way.
+    /// The era in which all other nodes have reported that they have no record which the page lacks.
+    complete_in: Option<Era>,
+    /// Steps at which the last write that confirmed the node as the home was sent, and at which the write in flight was
+    /// sent.
     confirmed_at: u32,
-    asked_at: u32,
-    /// Step at which the last life of the node ended.
+    sent_at: u32,
+    /// Step at which the last incarnation of the node ended.
     ended_at: u32,
 }
 
-/// One thing that may happen next.
+/// A step that may happen next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    Press {
+    KeyedCall {
         node: usize,
         key: u8,
     },
@@ -104,7 +105,7 @@
     LoseWrite {
         node: usize,
     },
-    LandLate {
+    ApplyLate {
         at: usize,
     },
     EndRun {
@@ -135,25 +136,25 @@
         node: usize,
     },
     RollBack,
-    /// All others say that they know of nothing which the page lacks.
-    Speak {
+    /// All other nodes report that they have no record which the page lacks.
+    ReportComplete {
         node: usize,
     },
-    /// The node acts on what they said.
-    Settle {
+    /// The node closes its gap by these reports.
+    CloseGap {
         node: usize,
     },
-    /// The node hears that another one asks about the page that it remembers.
-    Yield {
+    /// The node receives a request for reports on the page that it has recorded keys of.
+    RequestReports {
         node: usize,
     },
-    /// The node waits no longer for what others say.
-    GiveUp {
+    /// The node stops waiting for reports.
+    EndWait {
         node: usize,
     },
 }
 
-/// How a run ends in this world.
+/// Outcome of a run in the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndKind {
     Ran,
@@ -162,25 +163,25 @@
     UnknownNotRan,
 }
 
-/// The whole world.
+/// State of the simulation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct World {
-    pub kind: Kind,
-    pub left: Left,
-    /// Connections to the store so far: all break when it comes back older.
+pub struct Simulation {
+    pub scenario: Scenario,
+    pub remaining: Remaining,
+    /// Number of connections to the store so far. A rollback breaks all of them.
     era: Era,
     revision: u64,
-    /// Up to which revision the page may be from before the store's last return.
-    copied: u64,
+    /// Revision up to which the page may be older than the last rollback.
+    rollback_revision: u64,
     page: Option<Page>,
-    /// The page before each of its changes, where the store may still come back older.
+    /// The page before each of its changes, while the store may still be rolled back.
     past: Vec<Option<Page>>,
     nodes: Vec<Node>,
-    /// Writes whose answer was given up and that may still land.
+    /// Writes whose answer was given up and that may still take effect.
     late: Vec<(Position, Page)>,
     executed: Vec<u8>,
-    next_press: u64,
-    /// Steps so far, where they are counted.
+    next_id: u64,
+    /// Number of steps so far, in simulations with rounds of reports.
     step: u32,
 }
 
@@ -196,50 +197,50 @@
     KeptAnswer { status: 200, headers: Vec::new(), body: None }
 }
 
-impl World {
-    pub fn new(kind: Kind, left: Left) -> Self {
+impl Simulation {
+    pub fn new(scenario: Scenario, remaining: Remaining) -> Self {
         let node = |at| Node {
-            home: PageHome::new(Home { vm: vm(at), incarnation: 1 }, rule(kind)),
+            home: PageHome::new(Home { vm: vm(at), incarnation: 1 }, rule(scenario)),
             incarnation: 1,
             paused: false,
             read: None,
             write: None,
             runs: Vec::new(),
-            presses: Vec::new(),
+            keyed_calls: Vec::new(),
             retry: false,
             flush: false,
             released: false,
-            told_in: None,
+            complete_in: None,
             confirmed_at: 0,
-            asked_at: 0,
+            sent_at: 0,
             ended_at: 0,
         };
         Self {
-            kind,
-            left,
+            scenario,
+            remaining,
             era: Era::default(),
             revision: 0,
-            copied: 0,
+            rollback_revision: 0,
             page: None,
             past: Vec::new(),
             nodes: (0..NODES).map(node).collect(),
             late: Vec::new(),
-            executed: vec![0; usize::from(kind.keys)],
-            next_press: 1,
+            executed: vec![0; usize::from(scenario.keys)],
+            next_id: 1,
             step: 0,
         }
     }
 
-    /// Returns all that may happen next.
+    /// Returns all steps that may happen next.
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for at in 0..self.late.len() {
-            steps.push(Step::LandLate { at });
+            steps.push(Step::ApplyLate { at });
         }
         for node in 0..NODES {
             self.steps_of(node, &mut steps);
         }
-        if self.left.rollbacks > 0 && !self.past.is_empty() {
+        if self.remaining.rollbacks > 0 && !self.past.is_empty() {
             steps.push(Step::RollBack);
         }
         steps
@@ -247,40 +248,40 @@
 
     fn steps_of(&self, node: usize, steps: &mut Vec<Step>) {
         let state = &self.nodes[node];
-        // The store and runs go on whether the node is paused or not.
+        // The store and the runs continue while the node is paused.
         match &state.read {
-            Some(ReadState::Asked) => {
+            Some(ReadState::Requested) => {
                 steps.extend(self.holders(node).into_iter().map(|holder| Step::ServeRead { node, holder }));
             }
             Some(ReadState::Served { .. }) if !state.paused => steps.push(Step::AnswerRead { node }),
             Some(ReadState::Served { .. }) | None => {}
         }
-        if matches!(state.write, Some(WriteState::Asked { .. })) {
+        if matches!(state.write, Some(WriteState::Requested { .. })) {
             steps.push(Step::ServeWrite { node });
         }
-        if self.left.kills > 0 {
+        if self.remaining.kills > 0 {
             steps.push(Step::Kill { node });
         }
         if state.paused {
             steps.push(Step::Resume { node });
             return;
         }
-        if self.left.pauses > 0 {
+        if self.remaining.pauses > 0 {
             steps.push(Step::Pause { node });
         }
-        if self.left.presses > 0 {
-            steps.extend((0..self.kind.keys).map(|key| Step::Press { node, key }));
+        if self.remaining.keyed_calls > 0 {
+            steps.extend((0..self.scenario.keys).map(|key| Step::KeyedCall { node, key }));
         }
-        if self.left.acquires > 0 {
+        if self.remaining.acquires > 0 {
             steps.push(Step::Acquire { node });
         }
-        if state.read.is_some() && self.left.read_failures > 0 {
+        if state.read.is_some() && self.remaining.read_failures > 0 {
             steps.push(Step::FailRead { node });
         }
         if matches!(state.write, Some(WriteState::Served { .. })) {
             steps.push(Step::AnswerWrite { node });
         }
-        if state.write.is_some() && self.left.losses > 0 {
+        if state.write.is_some() && self.remaining.losses > 0 {
             steps.push(Step::LoseWrite { node });
         }
         for at in 0..state.runs.len() {
@@ -294,16 +295,16 @@
         if state.flush {
             steps.push(Step::Flush { node });
         }
-        if self.left.expiries > 0 {
-            steps.extend((0..state.presses.len()).map(|at| Step::Expire { node, at }));
+        if self.remaining.expiries > 0 {
+            steps.extend((0..state.keyed_calls.len()).map(|at| Step::Expire { node, at }));
         }
-        if self.left.releases > 0 && !state.released {
+        if self.remaining.releases > 0 && !state.released {
             steps.push(Step::Release { node });
         }
         self.steps_of_gap(node, steps);
     }
 
-    /// Returns what a reader may believe of the page's home.
+    /// Returns the states of the page's home that a reader may assume.
     fn holders(&self, reader: usize) -> Vec<Holder> {
         let Some(home) = self.page.as_ref().and_then(|page| page.home.as_ref()) else {
             return vec![Holder::Alive];
@@ -311,45 +312,46 @@
         let holder = (0..NODES).find(|&node| vm(node) == home.vm).unwrap_or(reader);
         let state = &self.nodes[holder];
         if state.incarnation > home.incarnation {
-            return vec![Holder::Alive, Holder::Over];
+            return vec![Holder::Alive, Holder::Dead];
         }
-        if holder != reader && (state.paused || self.kind.wild_silence) {
-            return vec![Holder::Alive, Holder::Silent];
+        if holder != reader && (state.paused || self.scenario.false_suspicion) {
+            return vec![Holder::Alive, Holder::Unresponsive];
         }
         vec![Holder::Alive]
     }
 
-    /// Lets one step happen; returns which promise it broke, if it broke one.
+    /// Performs one step. Returns the violation if the step broke a guarantee.
     pub fn apply(&mut self, step: Step) -> Result<(), String> {
-        // Worlds that are alike but for the number of steps count as one in a search.
-        self.step += u32::from(self.left.rounds > 0);
+        // Steps are counted only where rounds need them, so that a search treats states that differ only in the number
+        // of steps as equal.
+        self.step += u32::from(self.remaining.rounds > 0);
         match step {
-            Step::Press { node, key: number } => self.press(node, number),
+            Step::KeyedCall { node, key: number } => self.submit(node, number),
             Step::Acquire { node } => {
-                self.left.acquires -= 1;
-                self.tell(node, ClaimEvent::Acquire)
+                self.remaining.acquires -= 1;
+                self.deliver(node, ClaimEvent::Acquire)
             }
             Step::ServeRead { node, holder } => {
                 let page = self.page.clone();
                 let position = self.position();
-                // A page that is missing after a return may have been lost.
-                let complete = self.era == Era::default() || (page.is_some() && self.revision > self.copied);
+                // A page that is missing after a rollback may have been lost.
+                let complete = self.era == Era::default() || (page.is_some() && self.revision > self.rollback_revision);
                 self.nodes[node].read = Some(ReadState::Served { position, page, complete, holder });
                 Ok(())
             }
             Step::AnswerRead { node } => match self.nodes[node].read.take() {
                 Some(ReadState::Served { position, page, complete, holder }) => {
-                    self.tell(node, ClaimEvent::Read { position, page, complete, holder })
+                    self.deliver(node, ClaimEvent::Read { position, page, complete, holder })
                 }
-                Some(ReadState::Asked) | None => Ok(()),
+                Some(ReadState::Requested) | None => Ok(()),
             },
             Step::FailRead { node } => {
-                self.left.read_failures -= 1;
+                self.remaining.read_failures -= 1;
                 self.nodes[node].read = None;
-                self.tell(node, ClaimEvent::ReadFailed)
+                self.deliver(node, ClaimEvent::ReadFailed)
             }
             Step::ServeWrite { node } => {
-                if let Some(WriteState::Asked { expected, page }) = self.nodes[node].write.take() {
+                if let Some(WriteState::Requested { expected, page }) = self.nodes[node].write.take() {
                     let position = self.swap(expected, page);
                     self.nodes[node].write = Some(WriteState::Served { position });
                 }
@@ -357,107 +359,107 @@
             }
             Step::AnswerWrite { node } => match self.nodes[node].write.take() {
                 Some(WriteState::Served { position: Some(position) }) => {
-                    let asked_at = self.nodes[node].asked_at;
-                    self.tell(node, ClaimEvent::Wrote { position })?;
+                    let sent_at = self.nodes[node].sent_at;
+                    self.deliver(node, ClaimEvent::Wrote { position })?;
                     let state = &mut self.nodes[node];
                     if state.home.holds() && !state.home.has_gap() {
-                        state.confirmed_at = asked_at;
+                        state.confirmed_at = sent_at;
                     }
                     Ok(())
                 }
-                Some(WriteState::Served { position: None }) => self.tell(node, ClaimEvent::Refused),
-                Some(WriteState::Asked { .. }) | None => Ok(()),
+                Some(WriteState::Served { position: None }) => self.deliver(node, ClaimEvent::Refused),
+                Some(WriteState::Requested { .. }) | None => Ok(()),
             },
             Step::LoseWrite { node } => {
-                self.left.losses -= 1;
-                if let Some(WriteState::Asked { expected, page }) = self.nodes[node].write.take() {
+                self.remaining.losses -= 1;
+                if let Some(WriteState::Requested { expected, page }) = self.nodes[node].write.take() {
                     self.late.push((expected, page));
                 }
-                self.tell(node, ClaimEvent::WriteLost)
+                self.deliver(node, ClaimEvent::WriteLost)
             }
-            Step::LandLate { at } => {
+            Step::ApplyLate { at } => {
                 let (expected, page) = self.late.remove(at);
                 self.swap(expected, page);
                 Ok(())
             }
             Step::EndRun { node, at, end } => self.end_run(node, at, end),
             Step::Pause { node } => {
-                self.left.pauses -= 1;
+                self.remaining.pauses -= 1;
                 self.nodes[node].paused = true;
                 Ok(())
             }
             Step::Resume { node } => {
                 self.nodes[node].paused = false;
-                self.tell(node, ClaimEvent::Doubt)
+                self.deliver(node, ClaimEvent::SuspectHold)
             }
             Step::Kill { node } => self.kill(node),
             Step::Retry { node } => {
                 self.nodes[node].retry = false;
-                self.tell(node, ClaimEvent::Retry)
+                self.deliver(node, ClaimEvent::Retry)
             }
             Step::Flush { node } => {
                 self.nodes[node].flush = false;
-                self.tell(node, ClaimEvent::Flush)
+                self.deliver(node, ClaimEvent::Flush)
             }
             Step::Expire { node, at } => {
-                self.left.expiries -= 1;
-                let (press, _) = self.nodes[node].presses[at];
-                self.tell(node, ClaimEvent::Expire { press })
+                self.remaining.expiries -= 1;
+                let (id, _) = self.nodes[node].keyed_calls[at];
+                self.deliver(node, ClaimEvent::Expire { id })
             }
             Step::RollBack => {
-                self.left.rollbacks -= 1;
+                self.remaining.rollbacks -= 1;
                 self.page = self.past.pop().flatten();
-                // The revision is given out again.
+                // The store will reuse the revision.
                 self.revision -= 1;
-                self.copied = self.revision;
+                self.rollback_revision = self.revision;
                 self.era = self.era.next();
                 Ok(())
             }
-            Step::Speak { node } => {
-                self.left.rounds -= 1;
-                self.nodes[node].told_in = Some(self.nodes[node].home.era());
+            Step::ReportComplete { node } => {
+                self.remaining.rounds -= 1;
+                self.nodes[node].complete_in = Some(self.nodes[node].home.era());
                 Ok(())
             }
-            Step::Settle { node } => match self.nodes[node].told_in.take() {
-                Some(era) => self.tell(node, ClaimEvent::Complete { era }),
+            Step::CloseGap { node } => match self.nodes[node].complete_in.take() {
+                Some(era) => self.deliver(node, ClaimEvent::Complete { era }),
                 None => Ok(()),
             },
-            Step::Yield { node } => {
-                self.left.rounds -= 1;
-                self.tell(node, ClaimEvent::Doubt)
+            Step::RequestReports { node } => {
+                self.remaining.rounds -= 1;
+                self.deliver(node, ClaimEvent::SuspectHold)
             }
-            Step::GiveUp { node } => {
-                self.left.rounds -= 1;
-                self.tell(node, ClaimEvent::Waited)
+            Step::EndWait { node } => {
+                self.remaining.rounds -= 1;
+                self.deliver(node, ClaimEvent::WaitEnded)
             }
             Step::Release { node } => {
-                self.left.releases -= 1;
+                self.remaining.releases -= 1;
                 self.nodes[node].released = true;
-                self.tell(node, ClaimEvent::Release)
+                self.deliver(node, ClaimEvent::Release)
             }
         }
     }
 
-    fn press(&mut self, node: usize, number: u8) -> Result<(), String> {
-        self.left.presses -= 1;
-        let press = PressId(self.next_press);
-        self.next_press += 1;
-        self.nodes[node].presses.push((press, key(number)));
-        self.tell(node, ClaimEvent::Press { press, key: key(number), call: 7 })
+    fn submit(&mut self, node: usize, number: u8) -> Result<(), String> {
+        self.remaining.keyed_calls -= 1;
+        let id = KeyedCallId(self.next_id);
+        self.next_id += 1;
+        self.nodes[node].keyed_calls.push((id, key(number)));
+        self.deliver(node, ClaimEvent::KeyedCall { id, key: key(number), call: 7 })
     }
 
-    /// Returns where the page stands; the start of the era where there is none.
+    /// Returns the position of the page; the start of the era if there is none.
     fn position(&self) -> Position {
         Position::new(self.era, if self.page.is_some() { self.revision } else { 0 })
     }
 
     fn swap(&mut self, expected: Position, page: Page) -> Option<Position> {
-        // A write goes over the connection that its expected position was read over, or not at all.
+        // A write is sent only over the connection that its expected position was read over.
         if self.position() != expected {
             return None;
         }
         self.revision += 1;
-        if self.left.rollbacks > 0 {
+        if self.remaining.rollbacks > 0 {
             self.past.push(self.page.clone());
         }
         self.page = Some(page);
@@ -474,27 +476,27 @@
         if matches!(end, EndKind::Ran | EndKind::UnknownRan) {
             self.execute(key)?;
         }
-        self.tell(node, ClaimEvent::RunEnded { key, end: event })
+        self.deliver(node, ClaimEvent::RunEnded { key, end: event })
     }
 
     fn kill(&mut self, node: usize) -> Result<(), String> {
-        self.left.kills -= 1;
+        self.remaining.kills -= 1;
         let state = &mut self.nodes[node];
-        // What was under way at a server goes on without its home; the worst is that it runs.
+        // Calls that are running at a server continue without their home. In the worst case, they run to the end.
         let runs = std::mem::take(&mut state.runs);
         state.incarnation += 1;
         state.ended_at = self.step;
-        state.told_in = None;
+        state.complete_in = None;
         state.confirmed_at = 0;
-        state.home = PageHome::new(Home { vm: vm(node), incarnation: state.incarnation }, rule(self.kind));
+        state.home = PageHome::new(Home { vm: vm(node), incarnation: state.incarnation }, rule(self.scenario));
         state.read = None;
         let write = state.write.take();
-        state.presses.clear();
+        state.keyed_calls.clear();
         state.paused = false;
         state.retry = false;
         state.flush = false;
         state.released = false;
-        if let Some(WriteState::Asked { expected, page }) = write {
+        if let Some(WriteState::Requested { expected, page }) = write {
             self.late.push((expected, page));
         }
         for key in runs {
@@ -509,39 +511,39 @@
         if *count > 1 { Err(format!("key {} ran {count} times", key.0[0])) } else { Ok(()) }
     }
 
-    fn tell(&mut self, node: usize, event: ClaimEvent) -> Result<(), String> {
+    fn deliver(&mut self, node: usize, event: ClaimEvent) -> Result<(), String> {
         let mut actions = Vec::new();
         self.nodes[node].home.handle(event, NOW_S, &mut actions);
         for action in actions {
-            self.act(node, action)?;
+            self.perform(node, action)?;
         }
         let state = &mut self.nodes[node];
-        state.told_in = state.told_in.filter(|_| state.home.has_gap());
+        state.complete_in = state.complete_in.filter(|_| state.home.has_gap());
         Ok(())
     }
 
-    fn act(&mut self, node: usize, action: ClaimAction) -> Result<(), String> {
+    fn perform(&mut self, node: usize, action: ClaimAction) -> Result<(), String> {
         let state = &mut self.nodes[node];
         match action {
-            ClaimAction::Read if state.read.is_some() => Err("two reads at once".into()),
+            ClaimAction::Read if state.read.is_some() => Err("two reads at the same time".into()),
             ClaimAction::Read => {
-                state.read = Some(ReadState::Asked);
+                state.read = Some(ReadState::Requested);
                 Ok(())
             }
-            ClaimAction::Write { .. } if state.write.is_some() => Err("two writes at once".into()),
+            ClaimAction::Write { .. } if state.write.is_some() => Err("two writes at the same time".into()),
             ClaimAction::Write { expected, page } => {
-                state.write = Some(WriteState::Asked { expected, page });
-                state.asked_at = self.step;
+                state.write = Some(WriteState::Requested { expected, page });
+                state.sent_at = self.step;
                 Ok(())
             }
-            ClaimAction::Run { key, press } => {
-                if !state.presses.contains(&(press, key)) {
-                    return Err("a run for a press that was answered".into());
+            ClaimAction::Run { key, id } => {
+                if !state.keyed_calls.contains(&(id, key)) {
+                    return Err("run of a call that was already answered".into());
                 }
                 state.runs.push(key);
                 Ok(())
             }
-            ClaimAction::Reply { press, reply } => self.reply(node, press, reply),
+            ClaimAction::Reply { id, reply } => self.reply(node, id, reply),
             ClaimAction::RetryLater => {
                 state.retry = true;
                 Ok(())
@@ -553,28 +555,28 @@
         }
     }
 
-    fn reply(&mut self, node: usize, press: PressId, reply: PressReply) -> Result<(), String> {
-        let presses = &mut self.nodes[node].presses;
-        let at = presses.iter().position(|(waiting, _)| *waiting == press).ok_or("a press was answered twice")?;
-        let (_, key) = presses.remove(at);
+    fn reply(&mut self, node: usize, id: KeyedCallId, reply: KeyedCallReply) -> Result<(), String> {
+        let keyed_calls = &mut self.nodes[node].keyed_calls;
+        let at = keyed_calls.iter().position(|(waiting, _)| *waiting == id).ok_or("call was answered twice")?;
+        let (_, key) = keyed_calls.remove(at);
         let executed = self.executed[usize::from(key.0[0])];
-        let under_way = self.nodes.iter().any(|node| node.runs.contains(&key));
+        let in_flight = self.nodes.iter().any(|node| node.runs.contains(&key));
         match reply {
-            PressReply::Ran(_) if executed != 1 => Err(format!("told ran, but it ran {executed} times")),
-            PressReply::NotRun { .. } if !self.kind.wild_silence && (executed > 0 || under_way) => {
-                Err(format!("told not run, but it ran {executed} times, under way {under_way}"))
+            KeyedCallReply::Ran(_) if executed != 1 => Err(format!("replied ran, but the key ran {executed} times")),
+            KeyedCallReply::NotRun { .. } if !self.scenario.false_suspicion && (executed > 0 || in_flight) => {
+                Err(format!("replied not run, but the key ran {executed} times, in flight: {in_flight}"))
             }
-            PressReply::Reused => Err("told reused for the same call".into()),
+            KeyedCallReply::Reused => Err("replied reused for the same call".into()),
             _ => Ok(()),
         }
     }
 
-    /// Returns whether any run was ordered or done, so that a search can show that it got there.
+    /// Returns whether any key has run, so that a search can show that it got that far.
     pub fn ran(&self) -> bool {
         self.executed.iter().any(|&count| count > 0)
     }
 }
 
-fn rule(kind: Kind) -> ClaimRule {
-    ClaimRule { lifetime_s: 600, held: kind.held, entries_max: 100 }
+fn rule(scenario: Scenario) -> ClaimRule {
+    ClaimRule { lifetime_s: 600, held: scenario.held, entries_max: 100 }
 }
