--- a/valetrack/src/claim/run/history.rs
+++ b/valetrack/src/claim/run/history.rs
@@ -24,7 +24,7 @@
     pub(super) continuity: Continuity,
     incarnations: VmIncarnations,
     gaps: HashMap<u16, OpenGap>,
-    /// Bitmask of the pages that each VM last reported in [`ClaimReport::remembers`](super::super::ClaimReport::remembers).
+    /// Bitmask of the pages that each VM last reported to have recorded keys of.
     remembered: HashMap<Arc<str>, u8>,
     /// When the last write that confirmed this node as the home of a page was sent.
     confirmed_us: HashMap<u16, u64>,
--- a/valetrack/src/claim/tests/model.rs
+++ b/valetrack/src/claim/tests/model.rs
@@ -51,7 +51,7 @@
     searched
 }
 
-const NO_FAULTS: Remaining = Remaining {
+const BASE: Remaining = Remaining {
     keyed_calls: 2,
     pauses: 0,
     kills: 0,
@@ -67,16 +67,16 @@
 const HELD: Scenario = Scenario { keys: 1, held: true, false_suspicion: false };
 const FALSE_SUSPICION: Scenario = Scenario { keys: 1, held: false, false_suspicion: true };
 
-#[test_case(DURABLE, Remaining { pauses: 1, losses: 1, acquires: 1, ..NO_FAULTS }, 17; "pause and lost answer")]
-#[test_case(DURABLE, Remaining { kills: 1, losses: 1, acquires: 1, ..NO_FAULTS }, 16; "kill and lost answer")]
-#[test_case(DURABLE, Remaining { pauses: 1, kills: 1, ..NO_FAULTS }, 17; "pause and kill")]
-#[test_case(DURABLE, Remaining { losses: 2, read_failures: 1, ..NO_FAULTS }, 18; "lost answers and failed read")]
-#[test_case(DURABLE, Remaining { releases: 1, losses: 1, ..NO_FAULTS }, 18; "hand-over and lost answer")]
-#[test_case(DURABLE, Remaining { expiries: 1, pauses: 1, ..NO_FAULTS }, 18; "deadline and pause")]
-#[test_case(DURABLE, Remaining { keyed_calls: 3, expiries: 1, losses: 1, ..NO_FAULTS }, 15; "three calls and deadline")]
-#[test_case(HELD, Remaining { kills: 1, losses: 1, acquires: 1, ..NO_FAULTS }, 16; "held claims, kill and lost answer")]
-#[test_case(HELD, Remaining { pauses: 1, losses: 1, acquires: 1, ..NO_FAULTS }, 17; "held claims, pause and lost answer")]
-#[test_case(FALSE_SUSPICION, Remaining { losses: 1, ..NO_FAULTS }, 18; "false suspicion of running homes")]
+#[test_case(DURABLE, Remaining { pauses: 1, losses: 1, acquires: 1, ..BASE }, 17; "pause and lost answer")]
+#[test_case(DURABLE, Remaining { kills: 1, losses: 1, acquires: 1, ..BASE }, 16; "kill and lost answer")]
+#[test_case(DURABLE, Remaining { pauses: 1, kills: 1, ..BASE }, 17; "pause and kill")]
+#[test_case(DURABLE, Remaining { losses: 2, read_failures: 1, ..BASE }, 18; "lost answers and failed read")]
+#[test_case(DURABLE, Remaining { releases: 1, losses: 1, ..BASE }, 18; "hand-over and lost answer")]
+#[test_case(DURABLE, Remaining { expiries: 1, pauses: 1, ..BASE }, 18; "deadline and pause")]
+#[test_case(DURABLE, Remaining { keyed_calls: 3, expiries: 1, losses: 1, ..BASE }, 15; "three calls and deadline")]
+#[test_case(HELD, Remaining { kills: 1, losses: 1, acquires: 1, ..BASE }, 16; "held claims, kill and lost answer")]
+#[test_case(HELD, Remaining { pauses: 1, losses: 1, acquires: 1, ..BASE }, 17; "held claims, pause and lost answer")]
+#[test_case(FALSE_SUSPICION, Remaining { losses: 1, ..BASE }, 18; "false suspicion of running homes")]
 fn no_order_of_events_violates_at_most_once(scenario: Scenario, remaining: Remaining, depth: usize) {
     let searched = search(Simulation::new(scenario, remaining), depth);
     println!("{searched:?} for {remaining:?}");
