--- a/standin/tests/claim_rollback.rs
+++ b/standin/tests/claim_rollback.rs
@@ -166,7 +166,7 @@
         let new = format!("new-{number}");
         wait_for("a new key's run", async || told(&press(&door, &new).await) == "ran").await;
     }
-    let asked: usize = (0..VMS).map(|at| fleet.log(at).matches("event=claim.blind").count()).sum();
+    let asked: usize = (0..VMS).map(|at| fleet.log(at).matches("event=claim.history_unavailable").count()).sum();
     assert_eq!(asked, 0, "nobody had to be told that a key may have run");
     assert_nothing_ran_twice(&fleet).await;
 }
--- a/valetrack/src/claim/run/history.rs
+++ b/valetrack/src/claim/run/history.rs
@@ -228,7 +228,7 @@
         };
         gap.has_wait_ended = true;
         let missing = missing.unwrap_or("unknown");
-        log::warn!("event=claim.blind page={page} missing={missing} code={}", Code::ClaimHistoryUnknown);
+        log::warn!("event=claim.history_unavailable page={page} missing={missing} code={}", Code::ClaimHistoryUnknown);
         self.handle(page, ClaimEvent::WaitEnded);
     }
 
