--- a/valetrack/src/claim/run/history.rs
+++ b/valetrack/src/claim/run/history.rs
@@ -214,7 +214,7 @@
             GapStatus::Waiting => {}
             GapStatus::Unreachable(vm) => self.stop_waiting(page, vm.as_deref()),
             by @ (GapStatus::Unbroken | GapStatus::AllAnswered | GapStatus::New) => {
-                log::info!("event=claim.whole page={page} by={}", by.as_str());
+                log::info!("event=claim.history_complete page={page} by={}", by.as_str());
                 self.history.gaps.remove(&page);
                 self.handle(page, ClaimEvent::Complete { era: gap.era });
             }
