--- a/valetrack/src/claim/run.rs
+++ b/valetrack/src/claim/run.rs
@@ -224,7 +224,7 @@
         self.update_history();
         self.resend_request();
         if late {
-            log::warn!("event=claim.woke");
+            log::warn!("event=claim.resumed");
             self.resumed_us = now;
         }
         let is_isolated = self.is_isolated(now) && now > self.suspected_us + SUSPECT_INTERVAL_US;
