--- a/valetrack/src/member/directory.rs
+++ b/valetrack/src/member/directory.rs
@@ -11,16 +11,16 @@
 
 /// Prefix of the nodes' entries.
 pub const ENTRY_PREFIX: &str = "valetrack/node/";
-/// A node whose entry is missing this long is gone, in microseconds: a node that lives and
-/// reaches the store writes its entry anew within two seconds.
+/// A node whose entry is missing for this long counts as dead: a live node that reaches the store rewrites its entry
+/// within two seconds.
 pub const MISSING_US: u64 = 2_000_000;
-/// Entries that a fleet writes anew in a second: each takes a lease and a write, and the platform lets a fleet make 400
-/// such calls a second. Where many are missing, as after the store has come back without its leases, the last of them
-/// cannot be back sooner, and its node is not to be taken for gone.
+/// Entries that a fleet can rewrite in one second: each needs a lease and a write, and the platform limits a fleet to
+/// 400 such calls a second. When many entries are missing, for example after a store rollback that lost their leases,
+/// the last one is not rewritten sooner, and its node must not be declared dead before that.
 pub const REWRITES_PER_S: u64 = 200;
 
-/// Keys with entries that could not be read of which the position is remembered, so that each is logged
-/// once: more than any failure domain has nodes.
+/// Maximum number of keys with unreadable entries whose position is remembered, so that each is logged once. It exceeds
+/// the number of nodes of any failure domain.
 const INVALID_MAX: usize = 1_024;
 
 /// Returns the key of a VM's entry.
@@ -28,34 +28,35 @@
     format!("{ENTRY_PREFIX}{vm}")
 }
 
-/// A node's entry as it stands in the store.
+/// A node's entry as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryDoc {
     /// The node.
     #[serde(flatten)]
     pub member: Member,
-    /// Era of the store that the node knew of when it wrote it; the first one where an earlier release wrote it.
+    /// Latest era that the node had observed when it wrote the entry; the first era if an earlier release wrote it.
     #[serde(default)]
     pub era: Era,
 }
 
 impl EntryDoc {
-    /// Reads the entry of the VM that a key names.
+    /// Parses the entry of the VM that the item's key names.
     ///
     /// # Errors
     ///
-    /// Returns why another writer than that VM's node must have written it.
+    /// Returns why the value cannot have been written by the node of that VM.
     pub fn read(item: &Item) -> Result<Self, String> {
         let doc = serde_json::from_slice::<Self>(&item.value).map_err(|error| error.to_string())?;
         match &*doc.member.vm == vm_of(&item.key) {
             true => Ok(doc),
-            false => Err(format!("it names {}", doc.member.vm)),
+            false => Err(format!("the entry names VM {}", doc.member.vm)),
         }
     }
 
-    /// Returns where in the store's history it was written. An older copy shows it at the revision that it had, under a
-    /// later era; what a node has written since it knew of that era goes before it, what it wrote earlier does so by
-    /// its revision.
+    /// Returns the position at which the entry was written.
+    ///
+    /// A store restored from an older copy reports the entry's original revision under a later era. The era that the
+    /// node put into the entry therefore decides first, and the revision orders entries of the same era.
     fn written(&self, item: &Item) -> Position {
         match self.era == Era::default() {
             true => item.position,
@@ -67,26 +68,26 @@
 #[derive(Debug, Clone)]
 struct Entry {
     member: Member,
-    /// Where in the store's history it was written, or was last seen to be gone.
+    /// Position at which the entry was written, or was last observed to be missing.
     written: Position,
     missing_since_us: Option<u64>,
 }
 
-/// The nodes as the store's entries show them.
+/// The nodes that have an entry in the store.
 ///
-/// An entry never goes back to an earlier one, also where the store does, and one that is missing is believed in for
-/// [`MISSING_US`] more; while the store is out of reach nothing goes missing.
+/// An entry is never replaced by an earlier one, even after a store rollback. A missing entry is kept for another
+/// [`MISSING_US`] before its node is dropped, and while the store is unreachable no entry counts as missing.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     entries: BTreeMap<Arc<str>, Entry>,
-    /// Positions at which keys held what no node writes.
+    /// Positions at which keys held a value that no node writes.
     invalid: BTreeMap<String, Position>,
-    /// Entries that could not be read since they were last counted.
+    /// Number of unreadable entries since the last call of `take_invalid`.
     invalid_count: u64,
 }
 
 impl Directory {
-    /// Takes all entries as they were read at `now_us`; returns whether the nodes changed.
+    /// Replaces all entries by those read at `now_us`; returns whether the nodes changed.
     pub fn replace(&mut self, items: &[Item], now_us: u64) -> bool {
         let mut changed = false;
         let mut listed = Vec::new();
@@ -102,7 +103,7 @@
         changed
     }
 
-    /// Takes one change that came at `now_us`; returns whether the nodes changed.
+    /// Applies one change that was received at `now_us`; returns whether the nodes changed.
     pub fn apply(&mut self, change: &Change, now_us: u64) -> bool {
         match change {
             Change::Put(item) if item.key.starts_with(ENTRY_PREFIX) => self.put(item, now_us),
@@ -119,14 +120,14 @@
         }
     }
 
-    /// Returns how many entries could not be read since the last call.
+    /// Returns how many unreadable entries were found since the last call, and resets the count.
     pub fn take_invalid(&mut self) -> u64 {
         std::mem::take(&mut self.invalid_count)
     }
 
-    /// Takes what another node tells of a VM of which the store has shown nothing; it is believed
-    /// as long as an entry that has just gone missing. Returns whether the nodes changed.
-    pub fn hint(&mut self, member: &Member, now_us: u64) -> bool {
+    /// Adds a VM that another node has reported and that has no entry here. It is kept for as long as an entry that has
+    /// just gone missing. Returns whether the nodes changed.
+    pub fn learn_from_peer(&mut self, member: &Member, now_us: u64) -> bool {
         if self.entries.contains_key(&member.vm) {
             return false;
         }
@@ -135,34 +136,34 @@
         true
     }
 
-    /// Starts the time of all missing entries anew, since the store answers again.
-    pub fn store_is_back(&mut self, now_us: u64) {
+    /// Restarts the timers of all missing entries, since the store is reachable again.
+    pub fn on_store_reachable(&mut self, now_us: u64) {
         for entry in self.entries.values_mut().filter(|entry| entry.missing_since_us.is_some()) {
             entry.missing_since_us = Some(now_us);
         }
     }
 
-    /// Forgets nodes whose entries have been missing too long; returns their names. It is to be
-    /// called only while the store answers.
+    /// Removes nodes whose entries have been missing too long, and returns their names. It must be called only while the
+    /// store is reachable.
     pub fn expire(&mut self, now_us: u64) -> Vec<Arc<str>> {
-        let patience_us = self.patience_us();
-        let over = |entry: &Entry| entry.missing_since_us.is_some_and(|since| now_us >= since + patience_us);
-        let gone: Vec<Arc<str>> =
-            self.entries.iter().filter(|(_, entry)| over(entry)).map(|(vm, _)| vm.clone()).collect();
-        for vm in &gone {
+        let expiry_delay_us = self.expiry_delay_us();
+        let expired = |entry: &Entry| entry.missing_since_us.is_some_and(|since| now_us >= since + expiry_delay_us);
+        let dead: Vec<Arc<str>> =
+            self.entries.iter().filter(|(_, entry)| expired(entry)).map(|(vm, _)| vm.clone()).collect();
+        for vm in &dead {
             self.entries.remove(vm);
         }
-        gone
+        dead
     }
 
-    /// Returns when the next missing entry is over, in microseconds.
+    /// Returns when the next missing entry expires.
     pub fn next_expiry_us(&self) -> Option<u64> {
         let first = self.entries.values().filter_map(|entry| entry.missing_since_us).min();
-        first.map(|since_us| since_us + self.patience_us())
+        first.map(|since_us| since_us + self.expiry_delay_us())
     }
 
-    /// Returns whether a node's entry stands in the store and says just this.
-    pub fn shows(&self, member: &Member) -> bool {
+    /// Returns whether the store holds an entry for the node with exactly this content.
+    pub fn holds(&self, member: &Member) -> bool {
         let entry = self.entries.get(&member.vm);
         entry.is_some_and(|entry| entry.missing_since_us.is_none() && entry.member == *member)
     }
@@ -172,19 +173,19 @@
         self.entries.values().filter(|entry| entry.missing_since_us.is_some()).count()
     }
 
-    /// Returns for how long a missing entry is believed in, in microseconds.
-    fn patience_us(&self) -> u64 {
-        // One that is missing alone is not waited for any longer.
+    /// Returns how long a missing entry is kept.
+    fn expiry_delay_us(&self) -> u64 {
+        // A single missing entry gets no additional time.
         let others = self.missing().saturating_sub(1) as u64;
         MISSING_US + others * 1_000_000 / REWRITES_PER_S
     }
 
-    /// Returns all nodes that are believed in.
+    /// Returns all nodes, including those whose entries are missing and not expired yet.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.entries.values().map(|entry| &entry.member)
     }
 
-    /// Counts an entry that cannot be read; the node of that VM, if it lives, writes its own anew.
+    /// Counts an unreadable entry and treats it as missing; the node of that VM rewrites its entry if it is alive.
     fn reject(&mut self, item: &Item, reason: &str, now_us: u64) {
         if self.invalid.get(&item.key).is_some_and(|known| !item.position.supersedes(*known)) {
             return;
--- a/valetrack/src/member/evacuation.rs
+++ b/valetrack/src/member/evacuation.rs
@@ -1,4 +1,4 @@
-//! Failure domains whose servers are to get nothing, by an operator's word.
+//! Failure domains that operators have evacuated, so that their servers get no calls.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,45 +7,45 @@
 
 use crate::store::{Era, Position};
 
-/// The failure domains that are evacuated, as of one change.
+/// The evacuated failure domains as of one change.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// Era of the store in which `number` counts.
     #[serde(default)]
     pub era: Era,
-    /// Rises with each change in one era; zero before the first one.
+    /// Increases with each change within one era; zero before the first change.
     pub number: u64,
     /// The failure domains.
     pub domains: BTreeSet<Arc<str>>,
 }
 
 impl Evacuation {
-    /// Returns whether the servers of a failure domain are to get nothing.
+    /// Returns whether a failure domain is evacuated.
     pub fn covers(&self, domain: &str) -> bool {
         self.domains.contains(domain)
     }
 
-    /// Returns the domains as they stand in log lines.
+    /// Returns the domains in the format of log lines.
     pub fn domain_list(&self) -> String {
         let domains: Vec<&str> = self.domains.iter().map(|domain| &**domain).collect();
         format!("\"{}\"", domains.join(","))
     }
 
-    /// Returns where in the store's history it stood.
+    /// Returns the position in the store's history at which these domains were in force.
     pub fn position(&self) -> Position {
         Position::new(self.era, self.number)
     }
 
-    /// Takes what another node or the store tells; returns whether it says more than was known.
-    pub fn merge(&mut self, news: &Self) -> bool {
-        let newer = news.position().supersedes(self.position());
+    /// Adopts the state received from another node or the store if it is newer; returns whether it was.
+    pub fn merge(&mut self, received: &Self) -> bool {
+        let newer = received.position().supersedes(self.position());
         if newer {
-            *self = news.clone();
+            *self = received.clone();
         }
         newer
     }
 
-    /// Takes the failure domains as they stood at a position of the store; returns whether they changed.
+    /// Sets the failure domains that were evacuated at a position of the store; returns whether they changed.
     pub fn set(&mut self, domains: BTreeSet<Arc<str>>, at: Position) -> bool {
         if self.position().supersedes(at) || domains == self.domains {
             return false;
@@ -55,42 +55,42 @@
     }
 }
 
-/// For how long the operators' last word is kept against a store that came back older, in microseconds. A copy is some
-/// seconds old, and operators write again what is missing in it; half a minute is several times that. Whoever has
-/// not by then is taken at the store's word, since a removal of a key that is missing anyway shows nowhere.
-const REWRITE_US: u64 = 30_000_000;
+/// How long the evacuations from before a store rollback stay in force. The restored copy is some seconds old, and
+/// operators write the lost changes again; half a minute is several times that. After this time the store decides,
+/// since the removal of a key that the copy lacks anyway causes no change that a node could observe.
+const RETAIN_US: u64 = 30_000_000;
 
-/// Which failure domains are evacuated, by the operators' keys in a store that may come back older.
+/// Derives the evacuated failure domains from the operators' keys, across store rollbacks.
 ///
-/// What a copy does not hold is no removal, and what it holds again is no new word, until the operators have written
-/// again what they wrote.
+/// After a rollback a key that the restored copy lacks does not count as removed, and a key that it holds again does
+/// not count as newly written, until the operators have repeated their changes.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuationKeys {
-    /// The keys as they were read last, each with its position.
+    /// The keys that were read last, each with its position.
     stored: BTreeMap<Arc<str>, Position>,
-    /// Keys that were removed, with their last position before.
+    /// Keys that were removed, each with its last position before the removal.
     removed: BTreeMap<Arc<str>, Position>,
-    /// What the store has lost, and until when it counts all the same, in microseconds.
-    kept: Option<Kept>,
+    /// The state from before the last store rollback, while it still counts.
+    retained: Option<Retained>,
 }
 
-/// The operators' word from before the store came back older.
+/// The evacuations that were in force before a store rollback.
 #[derive(Debug, Clone)]
-struct Kept {
+struct Retained {
     until_us: u64,
     evacuated: BTreeSet<Arc<str>>,
-    /// Domains that returned, with the revision of the key that evacuated them.
-    returned: BTreeMap<Arc<str>, Position>,
+    /// Domains whose evacuation had ended, with the position of the key that evacuated them.
+    ended: BTreeMap<Arc<str>, Position>,
 }
 
 impl EvacuationKeys {
-    /// Notes that the store has come back older, where it is known that `evacuated` were in force.
+    /// Records a store rollback, before which the domains in `evacuated` were evacuated.
     pub fn enter_era(&mut self, evacuated: &BTreeSet<Arc<str>>, now_us: u64) {
-        let returned = self.removed.clone();
-        self.kept = Some(Kept { until_us: now_us + REWRITE_US, evacuated: evacuated.clone(), returned });
+        let ended = self.removed.clone();
+        self.retained = Some(Retained { until_us: now_us + RETAIN_US, evacuated: evacuated.clone(), ended });
     }
 
-    /// Takes the keys as the whole store shows them.
+    /// Replaces the keys by those of a complete read of the store.
     pub fn read(&mut self, stored: BTreeMap<Arc<str>, Position>) {
         for (domain, position) in std::mem::replace(&mut self.stored, stored) {
             if !self.stored.contains_key(&domain) {
@@ -99,54 +99,55 @@
         }
     }
 
-    /// Takes one key that was written.
+    /// Records that a key was written.
     pub fn put(&mut self, domain: &str, position: Position) {
         let domain: Arc<str> = Arc::from(domain);
-        self.forget_word(&domain);
+        self.discard_retained(&domain);
         self.stored.insert(domain, position);
     }
 
-    /// Takes one key that was removed.
+    /// Records that a key was removed.
     pub fn remove(&mut self, domain: &str) {
         let domain: Arc<str> = Arc::from(domain);
-        self.forget_word(&domain);
+        self.discard_retained(&domain);
         if let Some(position) = self.stored.remove(&domain) {
             self.removed.insert(domain, position);
         }
     }
 
-    /// Takes what a node that was there before the store came back older tells; it counts as the own word from before.
-    pub fn told(&mut self, evacuated: &BTreeSet<Arc<str>>, now_us: u64) {
-        let kept = self.kept.get_or_insert_with(|| Kept {
-            until_us: now_us + REWRITE_US,
+    /// Records the evacuations reported by a node that was running before the store rollback, as if they had been in
+    /// force at this node then.
+    pub fn record_peer_report(&mut self, evacuated: &BTreeSet<Arc<str>>, now_us: u64) {
+        let retained = self.retained.get_or_insert_with(|| Retained {
+            until_us: now_us + RETAIN_US,
             evacuated: BTreeSet::new(),
-            returned: BTreeMap::new(),
+            ended: BTreeMap::new(),
         });
-        kept.evacuated.extend(evacuated.iter().cloned());
+        retained.evacuated.extend(evacuated.iter().cloned());
     }
 
     /// Returns the failure domains that are evacuated at `now_us`.
     pub fn domains(&mut self, now_us: u64) -> BTreeSet<Arc<str>> {
-        self.kept = self.kept.take().filter(|kept| now_us < kept.until_us);
+        self.retained = self.retained.take().filter(|retained| now_us < retained.until_us);
         let mut domains: BTreeSet<Arc<str>> = self.stored.keys().cloned().collect();
-        if let Some(kept) = &self.kept {
-            // The very write that was undone stands there again.
-            let undone = |domain: &Arc<str>| {
+        if let Some(retained) = &self.retained {
+            // The copy holds the same write of a key whose removal it lost.
+            let restored = |domain: &Arc<str>| {
                 let revision = |position: &Position| position.wire_revision();
-                let before = kept.returned.get(domain).map(revision);
+                let before = retained.ended.get(domain).map(revision);
                 before.is_some() && before == self.stored.get(domain).map(revision)
             };
-            domains.retain(|domain| !undone(domain));
-            domains.extend(kept.evacuated.iter().cloned());
+            domains.retain(|domain| !restored(domain));
+            domains.extend(retained.evacuated.iter().cloned());
         }
         domains
     }
 
-    /// Forgets what was known of a domain before, since the operators have spoken again.
-    fn forget_word(&mut self, domain: &Arc<str>) {
-        if let Some(kept) = &mut self.kept {
-            kept.evacuated.remove(domain);
-            kept.returned.remove(domain);
+    /// Discards the state of a domain from before the rollback, since operators have changed its key since.
+    fn discard_retained(&mut self, domain: &Arc<str>) {
+        if let Some(retained) = &mut self.retained {
+            retained.evacuated.remove(domain);
+            retained.ended.remove(domain);
         }
     }
 }
--- a/valetrack/src/member/lease.rs
+++ b/valetrack/src/member/lease.rs
@@ -1,34 +1,32 @@
-//! Pure decisions of keeping this node's own entry in the store.
+//! State machine that keeps one node's entry in the store.
 
 use crate::store::{Era, Lease, Position, Relation};
 
-/// Part of a lease's time after which it is renewed, as a divisor: two renewals may be lost
-/// before it runs out.
+/// Divisor of a lease's lifetime that gives the time between renewals: two renewals may be lost before it expires.
 const RENEW_SHARE: u64 = 3;
-/// Longest time between two renewals, in microseconds: they are also how a node notices that the
-/// store does not answer, which a call that waits for changes would not show.
+/// Longest time between two renewals. Renewals also detect an unreachable store, which a pending watch does not.
 const RENEW_MAX_US: u64 = 2_000_000;
-/// Pause after the first failed call, in microseconds.
+/// Backoff after the first failed call.
 const BACKOFF_MIN_US: u64 = 200_000;
-/// Longest pause between failed calls, in microseconds: an entry that lapsed in an outage is to
-/// be back within two seconds of its end.
+/// Longest backoff after failed calls: an entry whose lease expired during an outage must be stored again within two
+/// seconds after the outage ends.
 const BACKOFF_MAX_US: u64 = 1_000_000;
 
-/// Longest time for which an entry is looked for in a store that came back older before it is written anew with another
-/// lease, in microseconds: a relay reads the store within 0.2 s of its return and tells its followers, and an entry is to
-/// be back within two seconds.
-const DOUBT_US: u64 = 600_000;
+/// How long the keeper waits after a store rollback to see its entry in the restored copy before it rewrites the entry
+/// under another lease. A relay reads the store and updates its followers within 0.2 s after the rollback, and an entry
+/// must be stored again within two seconds.
+const ENTRY_SEARCH_US: u64 = 600_000;
 
-/// What is to be done next for the entry.
+/// Next action for the entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryStep {
-    /// Ask for a lease.
+    /// Request a lease.
     Grant,
     /// Write the entry.
     Write {
-        /// The lease that it goes with.
+        /// The lease that the entry is bound to.
         lease: u64,
-        /// Position of the key's last change that must still hold; none when it must not exist.
+        /// Position of the key's last change that the write requires; none if the key must not exist.
         expected: Option<Position>,
     },
     /// Renew the lease.
@@ -36,11 +34,11 @@
         /// The lease.
         lease: u64,
     },
-    /// Ask the store by a read whether it answers.
+    /// Check by a read whether the store is reachable.
     Ask,
-    /// Nothing until this moment, in microseconds, or until the state changes.
+    /// Wait until this moment or until the state changes.
     Wait {
-        /// When to look again.
+        /// When `next` is due again.
         until_us: u64,
     },
 }
@@ -48,40 +46,40 @@
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
     id: u64,
-    /// The era in which the store was last known to hold it for this node.
+    /// The latest era in which the store is known to hold this lease for this node.
     era: Era,
     ttl_us: u64,
     /// When the call that last confirmed it was sent.
     confirmed_us: u64,
 }
 
-/// The own entry as the store shows it.
+/// A node's entry as read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SeenEntry {
     /// Position of its last change.
     pub position: Position,
-    /// The lease that it goes with.
+    /// The lease that it is bound to.
     pub lease: Option<u64>,
 }
 
-/// Keeps one entry alive through lost leases, lost answers, outages and a store that comes back older.
+/// Keeps one entry stored through lost leases, lost answers, outages and store rollbacks.
 ///
-/// In a store that came back older a lease may be gone and its id be somebody else's. It is kept only where the very
-/// write that this node was last told of stands there with it, since that makes it older than the copy; else the
-/// entry is written anew with another one.
+/// After a store rollback a lease may no longer exist, and its id may have been assigned to another node. The keeper
+/// reuses its lease only if the restored copy holds this node's last confirmed write under that lease, since the lease
+/// is then older than the copy. Otherwise it rewrites the entry under another lease.
 #[derive(Debug, Default)]
 pub struct EntryKeeper {
     lease: Option<HeldLease>,
     /// Version of the entry that is wanted in the store.
     wanted: u64,
-    /// Version that is known to be there.
+    /// Version that the store is known to hold.
     written: Option<u64>,
-    /// Position of the key's last change as far as is known; none when it does not exist.
+    /// Last known position of the key's last change; none if the key does not exist.
     position: Option<Position>,
-    /// The latest era that the store was heard to be in.
+    /// Latest era of the store that was observed.
     era: Era,
-    /// Until when the entry is looked for in a store that came back older, in microseconds.
-    doubt_until_us: Option<u64>,
+    /// Until when the keeper waits after a store rollback to see its entry in the restored copy.
+    search_until_us: Option<u64>,
     failures: u32,
     retry_us: u64,
     /// Whether the store has answered since the last failure.
@@ -89,29 +87,29 @@
 }
 
 impl EntryKeeper {
-    /// Asks for the entry to be written anew, since what it says has changed.
+    /// Schedules a write of the entry, since its content has changed.
     pub fn change(&mut self) {
         self.wanted += 1;
     }
 
-    /// Returns what is to be done at `now_us`.
+    /// Returns the action that is due at `now_us`.
     pub fn next(&self, now_us: u64) -> EntryStep {
         if now_us < self.retry_us {
             return EntryStep::Wait { until_us: self.retry_us };
         }
         if self.failures > 0 && !self.answered {
-            // The cheapest call tells whether the store is back: a read of an earlier state costs a tenth of the
-            // others. A node that is turned away for nine seconds after its lease was taken pays for 2.3 calls in
-            // place of 14. A renewal costs as little, and would prolong somebody else's lease where the store has
-            // come back older and given the id out again.
+            // Checks by the cheapest call whether the store is reachable again: a read of an earlier state costs a
+            // tenth of the others. Over an outage of nine seconds after the loss of a lease, the checks cost as much
+            // as 2.3 calls instead of 14. A renewal is as cheap, but after a store rollback it could prolong the
+            // lease of another node that was assigned the same id.
             return EntryStep::Ask;
         }
-        if let Some(until_us) = self.doubt_until_us
+        if let Some(until_us) = self.search_until_us
             && now_us < until_us
         {
             return EntryStep::Wait { until_us };
         }
-        // What is known of another era says nothing of this one.
+        // A lease of an earlier era may not exist in this one.
         let Some(lease) = self.lease.filter(|lease| lease.era == self.era) else {
             return EntryStep::Grant;
         };
@@ -123,53 +121,53 @@
         if now_us >= renew_us { EntryStep::Renew { lease: lease.id } } else { EntryStep::Wait { until_us: renew_us } }
     }
 
-    /// Returns the version that is to be written now.
+    /// Returns the latest version of the entry; zero if there was none yet.
     pub fn wanted(&self) -> u64 {
         self.wanted
     }
 
-    /// Returns the position of the key's last change as far as is known; none when it does not exist.
+    /// Returns the last known position of the key's last change; none if the key does not exist.
     pub fn position(&self) -> Option<Position> {
         self.position
     }
 
-    /// Returns the lease that is held in the present era, and when the call that last confirmed it was sent, in
+    /// Returns the lease that is held in the current era, and when the call that last confirmed it was sent, in
     /// microseconds.
     pub fn lease(&self) -> Option<(Lease, u64)> {
         let held = self.lease.filter(|lease| lease.era == self.era)?;
         Some((Lease { id: held.id, ttl_ms: held.ttl_us / 1_000, era: held.era }, held.confirmed_us))
     }
 
-    /// Returns the latest era that the store was heard to be in.
+    /// Returns the latest era of the store that was observed.
     pub fn era(&self) -> Era {
         self.era
     }
 
-    /// Notes at `now_us` that the store has come back older.
+    /// Records a store rollback that was observed at `now_us`.
     pub fn enter(&mut self, era: Era, now_us: u64) {
         if era <= self.era {
             return;
         }
         self.era = era;
-        self.doubt_until_us = self.lease.map(|_| now_us + DOUBT_US);
+        self.search_until_us = self.lease.map(|_| now_us + ENTRY_SEARCH_US);
     }
 
-    /// Takes a lease that was granted by a call sent at `sent_us`.
+    /// Records a lease that was granted by a call sent at `sent_us`.
     pub fn granted(&mut self, lease: Lease, sent_us: u64) {
-        self.succeeded();
+        self.reset_backoff();
         if lease.era < self.era {
-            // Granted by what the store has lost since.
+            // The store has been rolled back since it granted this lease.
             return;
         }
         let (id, era, ttl_us) = (lease.id, lease.era, lease.ttl_ms * 1000);
         self.lease = Some(HeldLease { id, era, ttl_us, confirmed_us: sent_us });
-        // What was written before went with an earlier lease.
+        // The entry that was written before is bound to an earlier lease.
         self.written = None;
     }
 
-    /// Notes that a version was written at a position.
+    /// Records that a version was written at a position.
     pub fn wrote(&mut self, version: u64, position: Position) {
-        self.succeeded();
+        self.reset_backoff();
         if position.era() < self.era {
             return;
         }
@@ -178,19 +176,19 @@
             self.position = Some(position);
         }
         if self.lease.is_some_and(|lease| lease.era < position.era()) {
-            // The store came back older before it took the write, which now stands there with an id that may be
-            // somebody else's lease.
-            self.lose_lease();
+            // The store was rolled back before it accepted the write, so that the entry is bound to a lease id that
+            // may belong to another node.
+            self.drop_lease();
         }
     }
 
-    /// Notes that the key stands at another position than was expected.
+    /// Records that the key's position differs from the expected one.
     pub fn conflicted(&mut self, position: Option<Position>) {
-        self.succeeded();
+        self.reset_backoff();
         self.position = position;
     }
 
-    /// Notes that the lease was renewed by a call sent at `sent_us`, which the store answered in an era.
+    /// Records that the lease was renewed by a call sent at `sent_us` and answered in `era`.
     pub fn renewed(&mut self, era: Era, sent_us: u64) {
         self.answered();
         if let Some(lease) = self.lease.as_mut().filter(|lease| lease.era == era) {
@@ -198,92 +196,92 @@
         }
     }
 
-    /// Notes that the store has answered.
+    /// Records that the store has answered.
     pub fn answered(&mut self) {
         self.answered = true;
         self.retry_us = 0;
-        let kept = self.lease.is_some() && self.written == Some(self.wanted);
-        if kept {
+        let is_stored = self.lease.is_some() && self.written == Some(self.wanted);
+        if is_stored {
             self.failures = 0;
         }
     }
 
-    /// Notes that the lease is over, and the key with it; another one is asked for at once.
+    /// Records that the lease has expired and the key was removed with it; another lease is requested at once.
     pub fn lease_over(&mut self) {
-        self.succeeded();
-        self.lose_lease();
+        self.reset_backoff();
+        self.drop_lease();
         self.position = None;
     }
 
-    /// Notes that a call failed at `now_us`; the next one waits, longer each time.
+    /// Records that a call failed at `now_us`; the backoff grows with each failure.
     pub fn failed(&mut self, now_us: u64, rng: &mut fastrand::Rng) {
         let longest_us = (BACKOFF_MIN_US << self.failures.min(8)).min(BACKOFF_MAX_US);
         self.failures += 1;
         self.answered = false;
-        // Not all nodes come back to a store at once that has just got well.
+        // Randomized, so that not all nodes call a recovered store at the same moment.
         self.retry_us = now_us + rng.u64(longest_us / 2..=longest_us);
     }
 
-    /// Notes that the store answers again, so that no pause is waited out.
-    pub fn store_is_back(&mut self) {
-        self.succeeded();
+    /// Ends the backoff, since the store is reachable again.
+    pub fn on_store_reachable(&mut self) {
+        self.reset_backoff();
     }
 
-    /// Notes the own entry as a read or a watch has shown it.
+    /// Records the node's entry as returned by a read or a watch.
     pub fn seen(&mut self, entry: SeenEntry) {
         if entry.position.era() < self.era {
             return;
         }
         match self.position.map(|known| entry.position.relation_to(known)) {
-            Some(Relation::LaterEra) => self.seen_again(entry),
+            Some(Relation::LaterEra) => self.seen_after_rollback(entry),
             Some(Relation::Behind) | None => self.position = Some(entry.position),
             Some(Relation::EarlierEra | Relation::Before | Relation::Same) => {}
         }
     }
 
-    /// Takes the own entry as a store shows it that has come back older.
-    fn seen_again(&mut self, entry: SeenEntry) {
-        let told = |known: Position| known.wire_revision() == entry.position.wire_revision();
-        let untouched = self.position.is_some_and(told);
+    /// Records the node's entry as found in the store after a rollback.
+    fn seen_after_rollback(&mut self, entry: SeenEntry) {
+        let same_revision = |known: Position| known.wire_revision() == entry.position.wire_revision();
+        let untouched = self.position.is_some_and(same_revision);
         self.position = Some(entry.position);
         match &mut self.lease {
             Some(lease) if untouched && entry.lease == Some(lease.id) => {
                 lease.era = entry.position.era();
-                // How much of its time is left there is not known.
+                // Its remaining lifetime is unknown, so that it is renewed at once.
                 lease.confirmed_us = 0;
-                self.doubt_until_us = None;
+                self.search_until_us = None;
             }
-            Some(_) | None => self.lose_lease(),
+            Some(_) | None => self.drop_lease(),
         }
     }
 
-    /// Notes that the own key does not exist at a position of the store.
+    /// Records that the node's key does not exist at a position of the store.
     pub fn missing(&mut self, at: Position) {
         if at.era() < self.era || self.position.is_some_and(|known| known.supersedes(at)) {
-            // A state from before the entry was written does not show that it is gone.
+            // This state is older than the last write of the entry.
             return;
         }
         if self.lease.is_some_and(|lease| lease.era < at.era()) {
-            self.lose_lease();
+            self.drop_lease();
         }
-        // The lease ran out, or the key was taken away: it is written anew at once.
+        // The lease has expired or the key was removed: the entry is rewritten at once.
         self.position = None;
         self.written = None;
     }
 
-    /// Notes that another writer has put something else at the own key; it is written anew at once.
+    /// Records that another writer has overwritten the node's key; the entry is rewritten at once.
     pub fn overwritten(&mut self, position: Position) {
         self.position = Some(position);
         self.written = None;
     }
 
-    fn lose_lease(&mut self) {
-        self.doubt_until_us = None;
+    fn drop_lease(&mut self) {
+        self.search_until_us = None;
         self.lease = None;
         self.written = None;
     }
 
-    fn succeeded(&mut self) {
+    fn reset_backoff(&mut self) {
         self.failures = 0;
         self.retry_us = 0;
     }
--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -1,5 +1,5 @@
-//! The member thread on a platform whose store has leases: the own entry, the view of the others,
-//! and the operators' bundle.
+//! The member thread on a platform whose store has leases: keeps this node's entry, the view of the other nodes, and
+//! the operators' bundle.
 
 mod follow;
 mod keep;
@@ -27,7 +27,7 @@
 use super::message::{Known, Member, MemberJob, Phase};
 use super::registrar::Registrar;
 use super::relay::ChangeLog;
-use super::role::Avoided;
+use super::role::AvoidReason;
 use super::state::Members;
 use crate::bundle::{Adopter, BundleFormat};
 use crate::claim::ClaimNews;
@@ -41,52 +41,52 @@
 use crate::rollout::{RolloutBook, RolloutFormat};
 use crate::store::{LeaseStore, Position};
 
-/// Longest wait of one call for changes, in milliseconds: the platform allows 30 seconds.
+/// Longest wait of one watch call: the platform allows 30 seconds.
 const WATCH_MS: u64 = 25_000;
-/// Part of the time within which a change is to be in force up to whose age news are relied on, in hundredths.
+/// Age above which the log is stale, as a percentage of the time within which an operator's change must be in force.
 const AGE_SHARE_PERCENT: u64 = 60;
-/// Time limit of one question to another node, in milliseconds.
-const ASK_MS: u64 = 400;
+/// Time limit of one request to another node.
+const REQUEST_MS: u64 = 400;
 
-/// What the member thread is joined to.
+/// Configuration and channels of the member thread.
 pub struct LeasedParts {
-    /// This VM, as it starts.
+    /// This VM at its start.
     pub me: Member,
     /// The store.
     pub store: Arc<dyn LeaseStore>,
-    /// How the bundle in the store is read.
+    /// Parses the bundle in the store.
     pub format: Arc<dyn BundleFormat>,
     /// Key of the operators' bundle.
     pub bundle_key: Arc<str>,
-    /// Prefix of the operators' keys that each name a failure domain to be evacuated.
+    /// Prefix of the operators' keys, each of which names a failure domain to evacuate.
     pub evacuation_prefix: Arc<str>,
-    /// How operators write orders of roll-outs.
+    /// Parses the operators' roll-out orders.
     pub rollouts: Arc<dyn RolloutFormat>,
-    /// How long the own entry outlives the last word of this node, in milliseconds.
+    /// How long this node's entry outlives the last renewal of its lease.
     pub lease_ms: u64,
-    /// Time within which an operator's change is to be in force, in milliseconds.
+    /// Time within which an operator's change must be in force.
     pub news_within_ms: u64,
-    /// News of other threads.
+    /// Jobs from other threads.
     pub jobs: Receiver<MemberJob>,
-    /// Ring to the link thread.
+    /// Channel to the link thread.
     pub to_link: Sender<LinkJob>,
-    /// Ring to the thread of crashes.
+    /// Channel to the crash thread.
     pub to_crash: Sender<CrashJob>,
-    /// Where the view of VMs is published.
+    /// Publishes the view of VMs.
     pub members: watch::Sender<Arc<Members>>,
     /// State of the upstream beside this node.
     pub upstream: watch::Receiver<UpstreamState>,
-    /// Turns true when this node takes work.
+    /// Becomes true when this node accepts calls.
     pub serving: watch::Receiver<bool>,
-    /// Turns true when this node leaves.
+    /// Becomes true when this node starts to leave.
     pub leaving: watch::Receiver<bool>,
-    /// Time for which the upstream still gets new work after leaving has begun.
+    /// How long after the start of leaving the upstream still gets new calls.
     pub drain_after: Duration,
-    /// Turns true when this node is about to exit.
+    /// Becomes true when this node is about to exit.
     pub exiting: watch::Receiver<bool>,
-    /// Told when the entry is withdrawn.
+    /// Set to true when this node's entry has been withdrawn.
     pub departed: watch::Sender<bool>,
-    /// Turns true when the thread is to end.
+    /// Becomes true when the thread must end.
     pub closing: watch::Receiver<bool>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
@@ -101,59 +101,59 @@
     keeper: RefCell<EntryKeeper>,
     me: RefCell<Member>,
     evacuation: RefCell<Evacuation>,
-    /// The operators' keys behind it.
+    /// The operators' keys that `evacuation` is derived from.
     evacuation_keys: RefCell<EvacuationKeys>,
-    /// Whether another node is being asked for evacuations.
+    /// Whether a request for evacuations to another node is pending.
     fetching_evacuation: Cell<bool>,
     rng: RefCell<fastrand::Rng>,
-    /// The roll-outs that the store shows.
+    /// The roll-outs in the store.
     rollouts: RefCell<RolloutBook>,
-    /// Wakes the task that carries roll-outs on.
-    rollout_news: Notify,
+    /// Wakes the task that advances roll-outs.
+    rollout_changed: Notify,
     /// The entries of the nodes that follow this one.
     registrar: RefCell<Registrar>,
-    /// The nodes that follow this one, and when each last asked, in microseconds.
+    /// The nodes that follow this one, and when each last sent a request, in microseconds.
     followers: RefCell<HashMap<Arc<str>, u64>>,
     /// Wakes the task that keeps entries.
     entry_due: Notify,
     /// Wakes the task that keeps entries when this node has become a relay.
     role_changed: Notify,
-    /// Has the relay told at once that the own entry is to say something else.
-    entry_news: Notify,
-    /// Wakes the task that follows the store, when its call hangs on a store that was away.
+    /// Wakes the task that follows a relay, to send a changed entry to the relay at once.
+    entry_update: Notify,
+    /// Wakes the task that follows the store, since its call may hang after an outage of the store.
     reread: Notify,
-    store_answers: Cell<bool>,
-    /// When this thread began, in microseconds.
+    store_reachable: Cell<bool>,
+    /// When this thread started.
     started_us: u64,
-    /// What was read of the store, for the nodes that follow this one.
+    /// What was read from the store, for the nodes that follow this one.
     log: RefCell<ChangeLog>,
-    /// What followers were told last, by the positions that it goes from and to.
+    /// Latest updates sent to followers, by the positions that each starts from and ends at.
     packed: RefCell<Vec<((Position, Position), Bytes)>>,
-    /// Wakes the nodes that follow this one when the log has changed.
-    logged: Notify,
-    /// Whether this node follows relays from now on, rather than look for one.
-    has_joined: Cell<bool>,
-    /// When a relay last told of the store, in microseconds.
-    news_us: Cell<Option<u64>>,
-    /// Whether the own entry has ever stood in the store as far as was read.
-    has_stood: Cell<bool>,
-    /// Since when calls to the store have failed, in microseconds.
+    /// Wakes the pending requests of followers when the log has changed.
+    log_changed: Notify,
+    /// Whether this node has chosen to follow relays and no longer looks for one.
+    follows_relays: Cell<bool>,
+    /// When the last update from a relay was received.
+    relay_update_us: Cell<Option<u64>>,
+    /// Whether this node's entry was ever seen in the store.
+    was_stored: Cell<bool>,
+    /// Since when calls to the store have failed.
     failing_since_us: Cell<Option<u64>>,
-    /// Since when this node has been a relay that is not needed, in microseconds.
+    /// Since when this node has been a surplus relay.
     surplus_since_us: Cell<Option<u64>>,
-    /// Until when this node becomes no relay, in microseconds.
-    rests_until_us: Cell<u64>,
-    /// Has this node follow the store closely at once, since another node wants to follow it.
-    hasten: Notify,
-    /// Nodes that are passed over as relays, and until when each is, in microseconds.
-    avoided: RefCell<HashMap<Arc<str>, (Avoided, u64)>>,
-    /// Position that was known when the store came back older, until it has been read whole since.
-    lost_from: Cell<Option<Position>>,
-    /// Whether other nodes are being asked what they know that a store which came back older may have lost.
-    comparing: Cell<bool>,
+    /// Until when this node does not become a relay again.
+    resigned_until_us: Cell<u64>,
+    /// Makes this node follow the store directly at once, since another node follows it.
+    follow_now: Notify,
+    /// Nodes that are avoided as relays, with the reason and until when, in microseconds.
+    avoided: RefCell<HashMap<Arc<str>, (AvoidReason, u64)>>,
+    /// Position that had been read when the store was rolled back; none once the store has been read completely since.
+    rollback_from: Cell<Option<Position>>,
+    /// Whether bundles are being compared with other nodes after a store rollback.
+    comparing_bundles: Cell<bool>,
 }
 
-/// Serves membership until told to close; must run on a local task set.
+/// Runs membership until the thread must end; must run on a local task set.
 pub async fn run(parts: LeasedParts, adopter: Adopter) {
     let shell = Rc::new(Shell {
         adopter,
@@ -165,63 +165,63 @@
         fetching_evacuation: Cell::new(false),
         rng: RefCell::new(fastrand::Rng::with_seed(parts.seed)),
         rollouts: RefCell::default(),
-        rollout_news: Notify::new(),
+        rollout_changed: Notify::new(),
         registrar: RefCell::new(Registrar::new(parts.lease_ms)),
         followers: RefCell::default(),
         entry_due: Notify::new(),
         role_changed: Notify::new(),
-        entry_news: Notify::new(),
+        entry_update: Notify::new(),
         reread: Notify::new(),
-        store_answers: Cell::new(false),
+        store_reachable: Cell::new(false),
         started_us: now_us(),
         log: RefCell::new(ChangeLog::with_age_max(parts.news_within_ms * AGE_SHARE_PERCENT * 10)),
         packed: RefCell::default(),
-        logged: Notify::new(),
-        has_joined: Cell::new(false),
-        has_stood: Cell::new(false),
-        news_us: Cell::new(None),
+        log_changed: Notify::new(),
+        follows_relays: Cell::new(false),
+        was_stored: Cell::new(false),
+        relay_update_us: Cell::new(None),
         failing_since_us: Cell::new(None),
         surplus_since_us: Cell::new(None),
-        rests_until_us: Cell::new(0),
-        hasten: Notify::new(),
+        resigned_until_us: Cell::new(0),
+        follow_now: Notify::new(),
         avoided: RefCell::default(),
-        lost_from: Cell::new(None),
-        comparing: Cell::new(false),
+        rollback_from: Cell::new(None),
+        comparing_bundles: Cell::new(false),
         parts,
     });
     shell.publish();
-    let mut duties = Duties::default();
-    duties.spawn(shell.clone().follow_store());
-    duties.spawn(shell.clone().keep_entry());
-    duties.spawn(shell.clone().follow_phase());
-    duties.spawn(shell.clone().withdraw());
-    duties.spawn(shell.clone().wake_neighbours());
-    duties.spawn(shell.clone().carry_rollouts());
-    duties.spawn(shell.clone().follow_suspensions());
+    let mut tasks = Duties::default();
+    tasks.spawn(shell.clone().follow_store());
+    tasks.spawn(shell.clone().keep_entry());
+    tasks.spawn(shell.clone().follow_phase());
+    tasks.spawn(shell.clone().withdraw());
+    tasks.spawn(shell.clone().probe_domain_peers());
+    tasks.spawn(shell.clone().advance_rollouts());
+    tasks.spawn(shell.clone().watch_suspensions());
     let mut closing = shell.parts.closing.clone();
-    while let Some(job) = duties.next_job(&shell.parts.jobs, &mut closing).await {
-        shell.clone().take(job);
+    while let Some(job) = tasks.next_job(&shell.parts.jobs, &mut closing).await {
+        shell.clone().handle(job);
     }
-    duties.shutdown().await;
+    tasks.shutdown().await;
 }
 
 impl Shell {
-    fn take(self: Rc<Self>, job: MemberJob) {
+    fn handle(self: Rc<Self>, job: MemberJob) {
         match job {
             MemberJob::Heard { members, evacuation, bundle, reply, .. } => {
-                // What goes where depends on it, so it is known before the bundle that lets calls in.
-                self.evacuation_heard(&evacuation);
-                self.hear(&members);
+                // Evacuations decide where calls are sent, so they are applied before the bundle that admits calls.
+                self.on_evacuation_received(&evacuation);
+                self.learn_members(&members);
                 if let Some(first) = members.first() {
                     let from = Target { vm: first.vm.clone(), addr: first.link_addr };
-                    self.clone().bundle_heard(bundle, from);
+                    self.clone().on_bundle_announced(bundle, from);
                 }
                 if let Some(reply) = reply {
-                    // Whoever asked may have gone away meanwhile.
+                    // The receiver may have been dropped.
                     let _ = reply.send(Known { members: self.digest(), claims: ClaimNews::default() });
                 }
             }
-            MemberJob::Bundle { number, from } => self.bundle_heard(number, from),
+            MemberJob::Bundle { number, from } => self.on_bundle_announced(number, from),
             MemberJob::Evacuation { from } => {
                 tokio::task::spawn_local(self.fetch_evacuation(from));
             }
@@ -229,20 +229,20 @@
                 tokio::task::spawn_local(self.serve_follower(after, wait_ms, *me, reply));
             }
             MemberJob::Behind { peer } => {
-                tokio::task::spawn_local(self.tell(peer));
+                tokio::task::spawn_local(self.send_state(peer));
             }
         }
     }
 
-    /// Takes what another node tells of nodes that the store has not shown.
-    fn hear(&self, members: &[Member]) {
-        if self.store_answers.get() {
+    /// Adds nodes reported by another node that have no entry here, while the store is unreachable.
+    fn learn_members(&self, members: &[Member]) {
+        if self.store_reachable.get() {
             return;
         }
         let now = now_us();
         let mut changed = false;
         for member in members.iter().filter(|member| member.vm != self.parts.me.vm) {
-            changed |= self.directory.borrow_mut().hint(member, now);
+            changed |= self.directory.borrow_mut().learn_from_peer(member, now);
         }
         if changed {
             log::info!("event=member.hinted count={}", members.len());
@@ -250,14 +250,14 @@
         }
     }
 
-    /// Takes what another node knows of evacuations.
-    fn evacuation_heard(&self, news: &Evacuation) {
-        if self.evacuation.borrow_mut().merge(news) {
+    /// Merges a state of evacuations received from another node.
+    fn on_evacuation_received(&self, received: &Evacuation) {
+        if self.evacuation.borrow_mut().merge(received) {
             self.evacuation_changed("peer");
         }
     }
 
-    /// Says which failure domains are evacuated from now on.
+    /// Logs and publishes the evacuated failure domains after a change.
     fn evacuation_changed(&self, by: &str) {
         {
             let evacuation = self.evacuation.borrow();
@@ -270,22 +270,22 @@
         self.publish();
     }
 
-    /// Asks another node which failure domains are evacuated, unless one is being asked.
+    /// Requests the evacuated failure domains from another node, unless such a request is pending.
     async fn fetch_evacuation(self: Rc<Self>, from: Target) {
         if self.fetching_evacuation.replace(true) {
             return;
         }
-        let question = Question { ask: Ask::Evacuation, body: Bytes::new() };
-        if let LinkResult::Reply(answered) = self.ask(from, question).await
-            && let Reply::Evacuation(news) = answered.head.reply
+        let request = Question { ask: Ask::Evacuation, body: Bytes::new() };
+        if let LinkResult::Reply(answered) = self.request(from, request).await
+            && let Reply::Evacuation(received) = answered.head.reply
         {
-            self.evacuation_heard(&news);
+            self.on_evacuation_received(&received);
         }
         self.fetching_evacuation.set(false);
     }
 
-    /// Tells a node that lacks the bundle in force what this one knows.
-    async fn tell(self: Rc<Self>, peer: Target) {
+    /// Sends this node's state to a node that lacks the bundle in force.
+    async fn send_state(self: Rc<Self>, peer: Target) {
         let evacuation = self.evacuation.borrow().clone();
         let ask = Ask::Gossip {
             members: self.digest(),
@@ -293,12 +293,13 @@
             bundle: self.adopter.number(),
             claims: ClaimNews::default(),
         };
-        // No reply is no loss: the peer's next reply shows again that it lacks the bundle.
-        let _ = self.ask(peer.clone(), Question { ask, body: Bytes::new() }).await;
-        // It cannot read the store either. A full ring is no loss for the same reason.
+        // A lost request is harmless: the peer's next reply shows again that it lacks the bundle.
+        let _ = self.request(peer.clone(), Question { ask, body: Bytes::new() }).await;
+        // The peer cannot read crash reports from the store either. A full channel is harmless for the same reason.
         let _ = self.parts.to_crash.try_send(CrashJob::Tell { target: peer });
     }
 
+    /// Returns the states of all recorded VMs, this VM first.
     fn digest(&self) -> Vec<Member> {
         let me = self.me.borrow().clone();
         let directory = self.directory.borrow();
@@ -306,40 +307,41 @@
         std::iter::once(me.clone()).chain(others).collect()
     }
 
-    fn bundle_heard(self: Rc<Self>, number: u64, from: Target) {
+    /// Fetches a bundle from another node if it is later than the one in force here.
+    fn on_bundle_announced(self: Rc<Self>, number: u64, from: Target) {
         if !self.adopter.wants(number) {
             return;
         }
         tokio::task::spawn_local(async move { self.fetch_bundle(from).await });
     }
 
-    /// Takes the bundle of another node.
+    /// Fetches the bundle in force at another node.
     async fn fetch_bundle(&self, from: Target) {
-        let question = Question { ask: Ask::Bundle, body: Bytes::new() };
-        if let LinkResult::Reply(answered) = self.ask(from, question).await
+        let request = Question { ask: Ask::Bundle, body: Bytes::new() };
+        if let LinkResult::Reply(answered) = self.request(from, request).await
             && let Reply::Bundle { number, version } = answered.head.reply
         {
             self.adopter.take_from_peer(number, &version, &answered.body);
         }
     }
 
-    async fn ask(&self, target: Target, question: Question) -> LinkResult {
-        peer::ask(&self.parts.to_link, target, question, Duration::from_millis(ASK_MS)).await
+    async fn request(&self, target: Target, request: Question) -> LinkResult {
+        peer::ask(&self.parts.to_link, target, request, Duration::from_millis(REQUEST_MS)).await
     }
 
-    /// Publishes the view: the store's entries, and this VM as it knows itself.
+    /// Publishes the view: the entries in the store, and this VM's own state.
     fn publish(&self) {
         let mut members = Members::default();
         for member in self.directory.borrow().members() {
             members.merge(member);
         }
         members.set(self.me.borrow().clone());
-        members.evacuate(&self.evacuation.borrow());
+        members.merge_evacuation(&self.evacuation.borrow());
         members.set_rollouts(self.rollouts.borrow().view());
         self.parts.members.send_replace(Arc::new(members));
     }
 
-    /// Follows the upstream and this node's own stages, and says what changes.
+    /// Derives this node's phase from its upstream and its own startup and shutdown, and publishes each change.
     async fn follow_phase(self: Rc<Self>) {
         let mut upstream = self.parts.upstream.clone();
         let mut serving = self.parts.serving.clone();
@@ -364,11 +366,11 @@
                 UpstreamPhase::Leaving => Phase::Leaving,
             };
             if state.start != start {
-                // Another start of the upstream is another life: its load and health are new.
+                // A restarted upstream is a new incarnation: its earlier load and health no longer apply.
                 self.me.borrow_mut().incarnation = self.rng.borrow_mut().u64(1..);
                 start = state.start;
             }
-            self.move_on(phase, state.version.clone());
+            self.set_phase(phase, state.version.clone());
             let changed = tokio::select! {
                 changed = upstream.changed() => changed,
                 changed = serving.changed() => changed,
@@ -380,7 +382,7 @@
         }
     }
 
-    fn move_on(&self, phase: Phase, version: Option<Arc<str>>) {
+    fn set_phase(&self, phase: Phase, version: Option<Arc<str>>) {
         let changed = {
             let mut me = self.me.borrow_mut();
             let changed = (me.phase, &me.version) != (phase, &version);
@@ -395,13 +397,13 @@
         self.entry_changed();
     }
 
-    /// Has the own entry say what this node is by now.
+    /// Schedules a write of this node's entry with its current state.
     fn entry_changed(&self) {
-        // A node that has never served has nobody to tell.
+        // A node that has never served has no entry.
         if self.me.borrow().phase == Phase::Serving || self.keeper.borrow().wanted() > 0 {
             self.keeper.borrow_mut().change();
             self.entry_due.notify_one();
-            self.entry_news.notify_one();
+            self.entry_update.notify_one();
         }
     }
 }
--- a/valetrack/src/member/leased/follow.rs
+++ b/valetrack/src/member/leased/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the store, a relay, or whoever is found, and notes when the store stops answering.
+//! Follows the store or a relay, and detects when the store becomes unreachable.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,33 +9,32 @@
 use crate::clock::now_us;
 use crate::store::{Era, StoreError};
 
-/// Pause before a store that failed is read again by a node that has never served, in milliseconds.
+/// Longest pause before a node that has never served reads a failed store again.
 const REREAD_MS: u64 = 400;
-/// The same for one that has, in milliseconds: the calls that keep entries, which cost less than reads, tell sooner when
-/// the store answers again.
+/// Longest pause before a node that has served reads a failed store again: its calls that keep entries cost less than
+/// reads and detect sooner that the store is reachable again.
 const REREAD_KEPT_MS: u64 = 3_000;
-/// Pause between two rounds of looking for a relay, in milliseconds: what a node writes in one round is read by the
-/// others in the next.
+/// Pause between two rounds of the search for a relay: the writes of one round are read by the others in the next.
 const ROUND_MS: std::ops::RangeInclusive<u64> = 300..=600;
-/// Wait of a call for what has changed already: the shortest that can be asked for.
+/// Wait of a watch call for changes that exist already: the shortest wait that the store accepts.
 pub(super) const CATCH_UP_WAIT: Duration = Duration::from_millis(1);
 
 impl Shell {
-    /// Follows the store, or a relay in its place; runs as long as the node.
+    /// Follows the store or a relay; runs as long as the node.
     pub(super) async fn follow_store(self: Rc<Self>) {
         let mut round = 0;
         loop {
             self.choose_role();
             match self.relay() {
-                Some(relay) if self.has_joined.get() => self.follow_relay(&relay).await,
+                Some(relay) if self.follows_relays.get() => self.follow_relay(&relay).await,
                 None if self.is_relay() => self.follow_directly().await,
                 Some(_) | None => round = self.find_relay(round).await,
             }
         }
     }
 
-    /// Looks for relays among the entries in the store, and asks one, or becomes one, by a chance that grows with each
-    /// round; returns the number of the next round.
+    /// Looks for relays among the entries in the store, and chooses to follow one or to become one, with a chance that
+    /// grows with each round; returns the number of the next round.
     async fn find_relay(self: &Rc<Self>, round: u32) -> u32 {
         let pause_ms = match self.read_earlier().await {
             Ok(()) => self.rng.borrow_mut().u64(ROUND_MS),
@@ -46,18 +45,18 @@
             }
         };
         let may_serve = self.keeper.borrow().wanted() > 0;
-        if self.store_answers.get() && may_serve && self.begins_as_relay(round) {
-            self.become_relay("few to follow");
-        } else if self.joins(round, may_serve) {
-            self.has_joined.set(true);
+        if self.store_reachable.get() && may_serve && self.draws_relay_role(round) {
+            self.become_relay("few relays to follow");
+        } else if self.draws_follower_role(round, may_serve) {
+            self.follows_relays.set(true);
         }
-        if self.is_relay() || self.has_joined.get() {
+        if self.is_relay() || self.follows_relays.get() {
             return 0;
         }
-        // Another node that follows this one, or the store's answering, ends the pause.
+        // The pause ends early when another node follows this one or the store is reachable again.
         tokio::select! {
             () = sleep(Duration::from_millis(pause_ms)) => {}
-            () = self.hasten.notified() => {}
+            () = self.follow_now.notified() => {}
             () = self.reread.notified() => {}
         }
         round + u32::from(may_serve)
@@ -68,17 +67,17 @@
         self.rng.borrow_mut().u64(longest_ms / 2..=longest_ms)
     }
 
-    /// Follows the store itself until it fails or another relay is to be followed.
+    /// Follows the store itself until it fails or this node has another relay to follow.
     async fn follow_directly(self: &Rc<Self>) {
         if self.failing_since_us.get().is_some() {
-            // Woken or not, the store is read again.
+            // The store is read again after the pause or the notification.
             let _ = timeout(Duration::from_millis(self.reread_pause_ms()), self.reread.notified()).await;
         }
         let mut wait = CATCH_UP_WAIT;
         while self.is_relay() && self.relay().is_none() {
             let changed = tokio::select! {
                 changed = self.read_changes(wait) => changed,
-                // The store was away; a call from before may hang for good.
+                // The store was unreachable, and a call from before may never end.
                 () = self.reread.notified() => continue,
             };
             match changed {
@@ -90,7 +89,7 @@
                     if !is_first {
                         return;
                     }
-                    // The connection may have gone silent, and another one serve.
+                    // The connection may be dead, and a new one may work.
                     wait = CATCH_UP_WAIT;
                     continue;
                 }
@@ -100,63 +99,64 @@
         }
     }
 
-    /// Waits until the changes that come together are there.
+    /// Waits for further changes, so that changes in quick succession are read in one call.
     async fn gather(&self) {
         let gather_ms = self.log.borrow().gather_ms();
         sleep(Duration::from_millis(gather_ms)).await;
     }
 
-    /// Returns how long the next call for changes may wait for the news of followers to be fresh.
+    /// Returns how long the next call for changes may wait so that the updates of followers are fresh.
     fn poll_ms(&self) -> u64 {
         let log = self.log.borrow();
         log.reader_poll_ms(now_us()).min(log.relay_wait_ms(now_us()))
     }
 
-    /// Returns how long a call for changes waits: no longer than until an entry that is missing
-    /// is to be forgotten.
+    /// Returns how long a call for changes waits: at most until the next missing entry expires.
     fn wait_ms(&self) -> u64 {
         let next_us = self.directory.borrow().next_expiry_us();
         let until_ms = next_us.map_or(WATCH_MS, |next_us| next_us.saturating_sub(now_us()) / 1000 + 10);
         until_ms.clamp(10, WATCH_MS)
     }
 
-    /// Notes that the store answers this node, and in which era.
+    /// Records that the store has answered this node, in the given era.
     pub(super) fn store_answered(self: &Rc<Self>, era: Era) {
         self.failing_since_us.set(None);
-        self.news_came(era);
+        self.store_update_received(era);
     }
 
-    /// Notes that the store answers this node, or a relay that has just told of it.
-    pub(super) fn news_came(self: &Rc<Self>, era: Era) {
-        self.era_seen(era);
-        if self.store_answers.replace(true) {
+    /// Records that the store has answered this node, or a relay that has just sent an update.
+    pub(super) fn store_update_received(self: &Rc<Self>, era: Era) {
+        self.observe_era(era);
+        if self.store_reachable.replace(true) {
             return;
         }
         log::info!("event=store.answers");
-        self.directory.borrow_mut().store_is_back(now_us());
-        self.keeper.borrow_mut().store_is_back();
+        self.directory.borrow_mut().on_store_reachable(now_us());
+        self.keeper.borrow_mut().on_store_reachable();
         self.entry_due.notify_one();
     }
 
+    /// Records that a call to the store has failed.
     pub(super) fn store_failed(&self, call: &str, error: &StoreError) {
         self.parts.metrics.store_calls.with_label_values(&["failed"]).inc();
         self.parts.metrics.store_failures.with_label_values(&[&error.code().to_string()]).inc();
         if self.failing_since_us.get().is_none() {
             self.failing_since_us.set(Some(now_us()));
         }
-        self.lose_log();
-        if self.store_answers.replace(false) {
-            // Told once an outage: a store that is down would fill the log.
+        self.mark_log_stale();
+        if self.store_reachable.replace(false) {
+            // Logged once per outage, since a store that is down would flood the log.
             log::warn!("event=store.lost call={call} code={} reason=\"{error}\"", error.code());
         }
     }
 
-    /// Counts what was followed so far as old, and tells those who follow this node.
-    pub(super) fn lose_log(&self) {
-        self.log.borrow_mut().lose();
-        self.logged.notify_waiters();
+    /// Marks the log as stale, and wakes the pending requests of followers.
+    pub(super) fn mark_log_stale(&self) {
+        self.log.borrow_mut().mark_stale();
+        self.log_changed.notify_waiters();
     }
 
+    /// Counts a call to the store by its kind.
     pub(super) fn count(&self, kind: &str) {
         self.parts.metrics.store_calls.with_label_values(&[kind]).inc();
     }
--- a/valetrack/src/member/leased/keep.rs
+++ b/valetrack/src/member/leased/keep.rs
@@ -1,5 +1,5 @@
-//! Keeps the own entry in the store and those of followers, where this node is a relay, and takes the own one back at the
-//! end.
+//! Keeps this node's entry and those of its followers in the store while this node is a relay, and removes its own entry
+//! on exit.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use crate::member::{Batch, EntryDoc, EntryStep, entry_key};
 use crate::store::{Committed, Era, Freshness, LeasedWrite, Position, StoreError, Transacted};
 
-/// Time that removing the entry may take when the node stops, in milliseconds.
-const END_MS: u64 = 300;
-/// Longest pause between two looks at the entries of followers, in milliseconds.
-const LOOK_MS: u64 = 500;
+/// Time limit for the removal of the entry when the node stops.
+const WITHDRAW_MS: u64 = 300;
+/// Longest pause between two checks of the entries of followers.
+const FOLLOWER_CHECK_MS: u64 = 500;
 
 impl Shell {
-    /// Keeps the own entry and those of followers in the store while this node is a relay; runs as long as the node.
+    /// Keeps this node's entry and those of followers in the store while this node is a relay; runs as long as the node.
     pub(super) async fn keep_entry(self: Rc<Self>) {
         loop {
             if !self.is_relay() {
@@ -28,15 +28,15 @@
             let step = self.next_step();
             let until_us = match step {
                 EntryStep::Grant | EntryStep::Write { .. } | EntryStep::Renew { .. } | EntryStep::Ask => {
-                    self.step(step).await;
+                    self.perform(step).await;
                     continue;
                 }
                 EntryStep::Wait { .. } if self.keep_followers().await => continue,
                 EntryStep::Wait { until_us } => until_us,
             };
-            let longest_ms = if self.registrar.borrow().is_empty() { WATCH_MS } else { LOOK_MS };
+            let longest_ms = if self.registrar.borrow().is_empty() { WATCH_MS } else { FOLLOWER_CHECK_MS };
             let pause = Duration::from_micros(until_us.saturating_sub(now_us()).min(longest_ms * 1000));
-            // Woken or not, the keeper is asked again.
+            // The next action is determined again after the pause or the notification.
             let _ = timeout(pause, self.entry_due.notified()).await;
         }
     }
@@ -48,24 +48,24 @@
             return EntryStep::Wait { until_us: u64::MAX };
         }
         match keeper.next(now_us()) {
-            // This node has nothing to say of itself yet.
+            // This node has no entry yet.
             EntryStep::Write { .. } if !has_entry => EntryStep::Wait { until_us: u64::MAX },
             step => step,
         }
     }
 
-    async fn step(self: &Rc<Self>, step: EntryStep) {
-        let ended = self.call(step).await;
-        self.take_end(ended);
+    async fn perform(self: &Rc<Self>, step: EntryStep) {
+        let result = self.call(step).await;
+        self.handle_result(result);
     }
 
-    /// Takes how a call for entries ended.
-    fn take_end(self: &Rc<Self>, ended: Result<(), StoreError>) {
-        match ended {
+    /// Handles the result of a call that keeps entries.
+    fn handle_result(self: &Rc<Self>, result: Result<(), StoreError>) {
+        match result {
             Ok(()) => {}
             Err(StoreError::LeaseOver) => {
                 log::info!("event=member.lease_over code={}", Code::LeaseOver);
-                // An answer, though it does not name its era; the next one will.
+                // This answer does not name its era; the next one does.
                 let era = self.keeper.borrow().era();
                 self.call_answered(era);
                 self.keeper.borrow_mut().lease_over();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Makes the call of one step, and takes its answer after the era that it names.
+    /// Makes the call of one step, and records the era that the answer names before the answer itself.
     async fn call(self: &Rc<Self>, step: EntryStep) -> Result<(), StoreError> {
         let sent_us = now_us();
         let store = &self.parts.store;
@@ -108,8 +108,9 @@
         Ok(())
     }
 
-    /// Notes that the store has answered a call for an entry, and has it read again where that shows that it is
-    /// back: a call for changes from before may hang for good. It may have been lost while the call was out.
+    /// Records that the store has answered a call that keeps entries. If the store was unreachable before, it is read
+    /// again, since an earlier call for changes may never end. The store may also have failed while this call was
+    /// pending.
     fn call_answered(self: &Rc<Self>, era: Era) {
         let was_away = self.failing_since_us.get().is_some();
         self.store_answered(era);
@@ -140,7 +141,7 @@
         Ok(())
     }
 
-    /// Writes the entries of followers that are to be written; returns whether there were any.
+    /// Writes the entries of followers that are due; returns whether there were any.
     async fn keep_followers(self: &Rc<Self>) -> bool {
         match self.due_batch() {
             Ok(batch) if batch.is_empty() => return false,
@@ -150,11 +151,11 @@
                 return false;
             }
         }
-        // Followers come and change together, and each call is paid for.
+        // Followers tend to start and change at the same time, and each call costs money.
         let gather_ms = self.log.borrow().gather_ms();
         sleep(Duration::from_millis(gather_ms)).await;
-        let ended = self.write_batch().await;
-        self.take_end(ended);
+        let result = self.write_batch().await;
+        self.handle_result(result);
         true
     }
 
@@ -177,40 +178,40 @@
                 self.call_answered(position.era());
                 self.registrar.borrow_mut().wrote(&batch, position);
             }
-            Transacted::Conflict(stands) => {
+            Transacted::Conflict(found) => {
                 let known = self.keeper.borrow().era();
-                let era = stands.iter().find_map(|(_, position)| *position).map_or(known, Position::era);
+                let era = found.iter().find_map(|(_, position)| *position).map_or(known, Position::era);
                 self.call_answered(era);
-                self.registrar.borrow_mut().conflicted(&batch, &stands);
+                self.registrar.borrow_mut().conflicted(&batch, &found);
             }
         }
         Ok(())
     }
 
-    /// Takes the own entry back when the node is about to exit.
+    /// Removes this node's entry when the node is about to exit.
     pub(super) async fn withdraw(self: Rc<Self>) {
         let mut exiting = self.parts.exiting.clone();
         if exiting.wait_for(|exiting| *exiting).await.is_err() {
             return;
         }
-        if self.store_answers.get() {
-            match timeout(Duration::from_millis(END_MS), self.remove_entry()).await {
+        if self.store_reachable.get() {
+            match timeout(Duration::from_millis(WITHDRAW_MS), self.remove_entry()).await {
                 Ok(Ok(())) => {}
-                // The lease runs out by itself.
+                // The entry is removed when its lease expires.
                 Ok(Err(error)) => log::warn!("event=member.entry_not_removed code={} reason=\"{error}\"", error.code()),
-                Err(_) => log::warn!("event=member.entry_not_removed reason=\"time limit\""),
+                Err(_) => log::warn!("event=member.entry_not_removed reason=\"timed out\""),
             }
         }
         self.parts.departed.send_replace(true);
     }
 
-    /// Removes the own entry where it stands, or has the relay that keeps it do so.
+    /// Removes this node's entry, or notifies the relay that keeps it.
     ///
-    /// The entry and not its lease: where the store has come back older, an end of the lease by its id could end
-    /// somebody else's, and another node's entry with it.
+    /// The entry is removed instead of revoking its lease: after a store rollback the lease's id may belong to another
+    /// node, whose entry would be removed with the lease.
     async fn remove_entry(&self) -> Result<(), StoreError> {
         if !self.is_relay() {
-            self.tell_relay_of_exit().await;
+            self.notify_relay_of_exit().await;
             return Ok(());
         }
         let key = entry_key(&self.parts.me.vm);
--- a/valetrack/src/member/leased/older.rs
+++ b/valetrack/src/member/leased/older.rs
@@ -1,5 +1,5 @@
-//! What a node does when the store has come back from an older copy: it reads everything again, keeps to what it knows
-//! that the copy lacks, and asks others what they know.
+//! Handling of a store rollback: the node reads the store completely, keeps its state that the restored copy lacks, and
+//! compares bundles and evacuations with other nodes.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,18 +17,18 @@
 use crate::member::{ENTRY_PREFIX, EntryDoc, Evacuation};
 use crate::store::{Era, Item, Position};
 
-/// Other nodes that one round of questions goes to. Those who know more tell those who know less, so that what one node
-/// alone knows is known to all of 13 after three rounds and to all of 1,000 after five, in each of 20 plays of a model
-/// in which all ask at the same moment.
+/// Number of other nodes that one round of queries includes. Nodes with a later state send it to those with an earlier
+/// one. In a model in which all nodes send their queries at the same moment, the state of a single node reaches all of
+/// 13 nodes within three rounds and all of 1,000 within five.
 const PEERS: usize = 3;
-/// Rounds of questions after the store came back older: one more than the model takes.
+/// Rounds of queries after a store rollback: one more than the model needs.
 const ROUNDS: usize = 6;
-/// Pause between two rounds, in milliseconds: several round trips between failure domains.
+/// Pause between two rounds: several round trips between failure domains.
 const ROUND_MS: u64 = 150;
 
 impl Shell {
-    /// Takes the era that an answer of the store, or another node, has named.
-    pub(super) fn era_seen(self: &Rc<Self>, era: Era) {
+    /// Records the era named by the store or another node; a later era than the recorded one means a store rollback.
+    pub(super) fn observe_era(self: &Rc<Self>, era: Era) {
         let known = self.log.borrow().position();
         if !self.log.borrow_mut().enter(era) {
             return;
@@ -37,27 +37,27 @@
         self.keeper.borrow_mut().enter(era, now);
         self.registrar.borrow_mut().enter(era, now);
         if known.is_start() {
-            // Nothing of the former era was read here, so that there is nothing to hold against the copy.
+            // Nothing of the former era was read here, so the copy lacks nothing that this node has.
             return;
         }
         log::warn!("event=store.came_back_older era={era} before={} known={known}", known.era());
         self.parts.metrics.store_rollbacks.inc();
-        self.lost_from.set(Some(known));
+        self.rollback_from.set(Some(known));
         self.evacuation_keys.borrow_mut().enter_era(&self.evacuation.borrow().domains, now);
-        // A full ring means that the store holds much of crashes; whatever is read next is held against it.
+        // A full channel means that the store holds many crash reports; the crash thread compares those read next.
         if self.parts.to_crash.try_send(CrashJob::StoreOlder).is_err() {
-            log::warn!("event=crash.store_older_dropped reason=\"full ring\"");
+            log::warn!("event=crash.store_older_dropped reason=\"channel full\"");
         }
-        self.logged.notify_waiters();
+        self.log_changed.notify_waiters();
         self.entry_due.notify_one();
         self.reread.notify_one();
-        self.hasten.notify_one();
+        self.follow_now.notify_one();
         tokio::task::spawn_local(self.clone().compare_bundles());
     }
 
-    /// Says what a store that came back older holds, as it is read whole for the first time.
+    /// Logs the contents of the store after its first complete read since a rollback.
     pub(super) fn log_reread(&self, at: Position) {
-        let Some(known) = self.lost_from.take() else {
+        let Some(known) = self.rollback_from.take() else {
             return;
         };
         log::info!(
@@ -68,57 +68,57 @@
         );
     }
 
-    /// Asks some other nodes for their bundle, and tells those that have an earlier one, in a few rounds.
+    /// Compares bundles with other nodes, in a few rounds, so that all end with the latest one.
     ///
-    /// An operator's change that was in force at one node when the store went away is not in the copy, and nodes that
-    /// no call passes would not hear of it.
+    /// The restored copy lacks an operator's change that was in force at only some nodes when the store failed, and
+    /// nodes that exchange no calls with those would not receive it.
     async fn compare_bundles(self: Rc<Self>) {
-        if self.comparing.replace(true) {
+        if self.comparing_bundles.replace(true) {
             return;
         }
         for _ in 0..ROUNDS {
-            self.ask_peers().await;
+            self.query_peers().await;
             sleep(Duration::from_millis(ROUND_MS)).await;
         }
-        self.comparing.set(false);
+        self.comparing_bundles.set(false);
     }
 
-    /// Asks some other nodes what bundle is in force there.
-    async fn ask_peers(self: &Rc<Self>) {
-        let peers = self.some_peers();
-        let asked = peers.into_iter().map(|peer| self.clone().ask_for_bundle(peer));
+    /// Compares bundles and evacuations with some other nodes.
+    async fn query_peers(self: &Rc<Self>) {
+        let peers = self.random_peers();
+        let asked = peers.into_iter().map(|peer| self.clone().query_peer(peer));
         futures::future::join_all(asked).await;
     }
 
-    async fn ask_for_bundle(self: Rc<Self>, peer: Target) {
-        let question = Question { ask: Ask::Evacuation, body: Bytes::new() };
-        let LinkResult::Reply(answered) = self.ask(peer.clone(), question).await else {
+    async fn query_peer(self: Rc<Self>, peer: Target) {
+        let request = Question { ask: Ask::Evacuation, body: Bytes::new() };
+        let LinkResult::Reply(answered) = self.request(peer.clone(), request).await else {
             return;
         };
         let theirs = answered.head.riding.bundle;
-        if let Reply::Evacuation(news) = answered.head.reply {
-            self.evacuation_told(&news);
+        if let Reply::Evacuation(reported) = answered.head.reply {
+            self.on_evacuation_reported(&reported);
         }
         if theirs < self.adopter.number() {
-            return self.tell(peer).await;
+            return self.send_state(peer).await;
         }
         if self.adopter.wants(theirs) {
             self.fetch_bundle(peer).await;
         }
     }
 
-    /// Takes what another node knows of evacuations; at a node that has just started it counts as the operators' word
-    /// from before the store came back older.
-    fn evacuation_told(&self, news: &Evacuation) {
-        if self.adopter.number() == 0 && !news.domains.is_empty() {
-            self.evacuation_keys.borrow_mut().told(&news.domains, now_us());
-            self.settle_evacuations();
+    /// Merges the evacuations reported by another node. A node that has just started treats them as the state from
+    /// before the store rollback.
+    fn on_evacuation_reported(&self, reported: &Evacuation) {
+        if self.adopter.number() == 0 && !reported.domains.is_empty() {
+            self.evacuation_keys.borrow_mut().record_peer_report(&reported.domains, now_us());
+            self.update_evacuation();
         }
-        self.evacuation_heard(news);
+        self.on_evacuation_received(reported);
     }
 
     /// Returns some other nodes, drawn at random.
-    fn some_peers(&self) -> Vec<Target> {
+    fn random_peers(&self) -> Vec<Target> {
         let me = &self.parts.me.vm;
         let directory = self.directory.borrow();
         let others = directory.members().filter(|member| member.vm != *me);
@@ -126,23 +126,23 @@
         chosen.into_iter().map(|member| Target { vm: member.vm.clone(), addr: member.link_addr }).collect()
     }
 
-    /// Puts the store's bundle in force, at a node that has none only after others were asked for theirs where the
-    /// store may have come back older than what they have.
+    /// Puts the store's bundle in force. A node without a bundle first queries peers for theirs if the store may have
+    /// been rolled back, since they may have a later one.
     pub(super) fn offer_bundle(self: &Rc<Self>, number: u64, text: &str) {
-        if self.adopter.number() > 0 || !self.store_may_be_older() {
+        if self.adopter.number() > 0 || !self.store_may_be_rolled_back() {
             self.adopter.offer(number, &version_of(text), text, "store");
             return;
         }
-        log::info!("event=bundle.held_back number={number} reason=\"the store has come back older\"");
+        log::info!("event=bundle.held_back number={number} reason=\"the store may have been rolled back\"");
         let (shell, text): (_, Arc<str>) = (self.clone(), Arc::from(text));
         tokio::task::spawn_local(async move {
-            shell.ask_peers().await;
+            shell.query_peers().await;
             shell.adopter.offer(number, &version_of(&text), &text, "store");
         });
     }
 
-    /// Returns whether some entry is from an earlier era: its node was there before the store came back older.
-    fn store_may_be_older(&self) -> bool {
+    /// Returns whether some entry is from an earlier era, so that its node was running before a store rollback.
+    fn store_may_be_rolled_back(&self) -> bool {
         let era = self.log.borrow().era();
         self.log.borrow().items().any(|item| is_of_earlier_era(item, era))
     }
--- a/valetrack/src/member/leased/role.rs
+++ b/valetrack/src/member/leased/role.rs
@@ -1,37 +1,37 @@
-//! Whether this node is a relay, and whom it follows.
+//! Decides whether this node is a relay and which node it follows.
 
 use std::rc::Rc;
 
 use super::Shell;
 use crate::clock::now_us;
 use crate::link::peer::Target;
-use crate::member::role::{Avoided, begins, is_needed, is_surplus, joins, relay_of, volunteers};
+use crate::member::role::{AvoidReason, is_candidate, is_needed, is_surplus, joins_relay, relay_of, starts_as_relay};
 use crate::member::{GROUP_MAX, Member, Phase, entry_key};
 
-/// A relay that did not reply is passed over for this long, in microseconds: about as long as a killed node takes to
-/// serve again.
+/// How long a relay that did not reply is avoided: about as long as a killed node needs to serve again.
 const SILENT_US: u64 = 5_000_000;
-/// A relay that is behind the store is passed over by its followers for this long, in microseconds.
+/// How long followers avoid a relay that is behind the store.
 const BEHIND_US: u64 = 1_000_000;
-/// The same by other relays, which follow the store themselves meanwhile, in microseconds: about as long as one that is
-/// turned away takes to give up.
+/// How long relays avoid a reader that is behind the store, while they follow the store themselves: about as long as a
+/// reader that the store does not answer needs to resign.
 const BEHIND_READER_US: u64 = 2_500_000;
-/// A node waits this long after its start before it takes its failure domain for short of relays, in microseconds: it
-/// knows few of the nodes that start with it.
+/// How long a node waits after its start before it may conclude that its failure domain has too few relays: at first it
+/// has a record of only a few of the nodes that start with it.
 const SETTLE_US: u64 = 4_000_000;
-/// A relay that bears no more followers is passed over for this long, in microseconds.
+/// How long a relay that accepts no more followers is avoided.
 const FULL_US: u64 = 3_000_000;
-/// Nodes that a relay bears at most: half as many again as it is to have, since draws are uneven and others fail.
+/// Maximum number of followers of a relay: one and a half times the target, since random draws are uneven and other
+/// relays fail.
 const FOLLOWERS_MAX: usize = GROUP_MAX * 3 / 2;
-/// A node that has not asked for this long follows this one no more, in microseconds: three waits.
-const FOLLOWS_US: u64 = 3_000_000;
-/// A relay that is not needed gives up after this long, in microseconds: views of a fleet that starts differ.
+/// A node that has sent no request for this long no longer counts as a follower: three waits.
+const FOLLOWER_EXPIRY_US: u64 = 3_000_000;
+/// A surplus relay resigns after this long, since the views of nodes differ while a fleet starts.
 const SURPLUS_US: u64 = 3_000_000;
-/// A relay that the store turns away, while it answers others, gives up after this long, in microseconds: well before
-/// the entries that it keeps are over.
-const TURNED_AWAY_US: u64 = 2_000_000;
-/// A node that has given up becomes no relay for this long, in microseconds.
-const REST_US: u64 = 10_000_000;
+/// A relay that the store does not answer, while it answers others, resigns after this long: well before the entries that
+/// it keeps expire.
+const STORE_FAILURE_MAX_US: u64 = 2_000_000;
+/// How long a relay that has resigned does not become a relay again.
+const RESIGNED_US: u64 = 10_000_000;
 
 impl Shell {
     /// Returns whether this node is a relay.
@@ -39,47 +39,47 @@
         self.me.borrow().is_relay
     }
 
-    /// Passes a relay over for a while.
-    pub(super) fn avoid(&self, relay: &Target, why: Avoided) {
+    /// Avoids a relay for a time that depends on the reason.
+    pub(super) fn avoid(&self, relay: &Target, why: AvoidReason) {
         let pause_us = match why {
-            Avoided::Silent => SILENT_US,
-            Avoided::Behind if self.is_relay() => BEHIND_READER_US,
-            Avoided::Behind => BEHIND_US,
-            Avoided::Full => FULL_US,
+            AvoidReason::Silent => SILENT_US,
+            AvoidReason::Behind if self.is_relay() => BEHIND_READER_US,
+            AvoidReason::Behind => BEHIND_US,
+            AvoidReason::Full => FULL_US,
         };
         self.avoided.borrow_mut().insert(relay.vm.clone(), (why, now_us() + pause_us));
     }
 
-    fn avoided(&self, vm: &str) -> Option<Avoided> {
+    fn avoided(&self, vm: &str) -> Option<AvoidReason> {
         let now = now_us();
         self.avoided.borrow().get(vm).filter(|(_, until_us)| now < *until_us).map(|(why, _)| *why)
     }
 
-    /// Returns the node that this one is to follow in place of the store, if there is one.
+    /// Returns the node that this one follows instead of the store, if there is one.
     pub(super) fn relay(&self) -> Option<Target> {
         let members = self.parts.members.borrow();
         let mut me = self.me.borrow().clone();
         if self.failing_since_us.get().is_some() && me.is_relay {
-            // The store may turn this node alone away: whoever else follows it tells.
+            // The store may fail for this node alone, and another relay may still follow it.
             me.is_relay = false;
             let other = relay_of(&members, &me, |vm| self.avoided(vm))?;
-            let tells = other.is_relay && self.avoided(&other.vm).is_none();
-            return tells.then(|| Target { vm: other.vm.clone(), addr: other.link_addr });
+            let is_usable = other.is_relay && self.avoided(&other.vm).is_none();
+            return is_usable.then(|| Target { vm: other.vm.clone(), addr: other.link_addr });
         }
         let relay = relay_of(&members, &me, |vm| self.avoided(vm))?;
         Some(Target { vm: relay.vm.clone(), addr: relay.link_addr })
     }
 
-    /// Becomes a relay, or gives up being one, as the failure domain needs it.
+    /// Becomes a relay or resigns as one, depending on the number of relays in the failure domain.
     pub(super) fn choose_role(self: &Rc<Self>) {
         let now = now_us();
         let members = self.parts.members.borrow().clone();
         let me = self.me.borrow().clone();
         if !me.is_relay {
             self.surplus_since_us.set(None);
-            let settled = now >= self.started_us + SETTLE_US && self.entry_stands();
+            let settled = now >= self.started_us + SETTLE_US && self.entry_is_stored();
             if settled && self.may_be_relay() && is_needed(&members, &me, |vm| self.avoided(vm)) {
-                self.become_relay("too few");
+                self.become_relay("too few relays");
             }
             return;
         }
@@ -89,51 +89,54 @@
         };
         self.surplus_since_us.set(since_us);
         if since_us.is_some_and(|since_us| now >= since_us + SURPLUS_US) {
-            self.give_up_relay("too many");
+            self.resign_relay("too many relays");
         }
     }
 
-    /// Returns whether this node has not lately given up being a relay.
+    /// Returns whether this node may become a relay, since it has not resigned as one recently.
     fn may_be_relay(&self) -> bool {
-        now_us() >= self.rests_until_us.get()
+        now_us() >= self.resigned_until_us.get()
     }
 
-    /// Draws whether this node begins as a relay: by chance in its first round, and in any later one that shows none.
-    pub(super) fn begins_as_relay(&self, round: u32) -> bool {
-        let is_first = round == 0 && !self.entry_is_known();
+    /// Draws whether this node becomes a relay in a round: in the first round even if it finds one, later only if it
+    /// finds none.
+    pub(super) fn draws_relay_role(&self, round: u32) -> bool {
+        let is_first = round == 0 && !self.entry_is_listed();
         let has_relay = self.relay().is_some();
         let mut rng = self.rng.borrow_mut();
-        self.may_be_relay() && (is_first && begins(&mut rng) || !has_relay && volunteers(round, &mut rng))
+        self.may_be_relay() && (is_first && starts_as_relay(&mut rng) || !has_relay && is_candidate(round, &mut rng))
     }
 
-    /// Draws whether this node asks a relay in a round: a few at first, since all nodes of a fleet that starts may have
-    /// found the same relays.
-    pub(super) fn joins(&self, round: u32, may_serve: bool) -> bool {
+    /// Draws whether this node sends a request to a relay in a round: only a few nodes do at first, since all nodes of a
+    /// starting fleet may have found the same relays.
+    pub(super) fn draws_follower_role(&self, round: u32, may_serve: bool) -> bool {
         if self.relay().is_none() {
             return false;
         }
-        // An upstream that is away for long leaves its node with nothing to say.
+        // A node without an entry waits for its upstream, but only for a limited time, since the upstream may stay
+        // unavailable.
         let waits = !may_serve && now_us() < self.started_us + SETTLE_US;
         let relays = self.parts.members.borrow().iter().filter(|member| member.is_relay).count();
-        self.entry_is_known() || (!waits && joins(round, relays, &mut self.rng.borrow_mut()))
+        self.entry_is_listed() || (!waits && joins_relay(round, relays, &mut self.rng.borrow_mut()))
     }
 
-    /// Returns whether the store shows an entry of this VM, so that its node has only started again.
-    fn entry_is_known(&self) -> bool {
+    /// Returns whether the store holds an entry of this VM, so that its node was only restarted.
+    fn entry_is_listed(&self) -> bool {
         let key = entry_key(&self.parts.me.vm);
         self.log.borrow().position_of(&key).is_some()
     }
 
-    /// Draws whether this node, whose relay is behind, tries the store itself: about one of all that are. One whose entry
-    /// has never stood knows too little of the others for that.
-    pub(super) fn tries_store(&self) -> bool {
+    /// Draws whether this node, whose relay is behind, probes the store itself: about one of all such nodes does. A node
+    /// whose entry was never stored has a record of too few others for this draw.
+    pub(super) fn draws_store_probe(&self) -> bool {
         let members = self.parts.members.borrow();
         let followers = members.iter().filter(|member| member.phase == Phase::Serving && !member.is_relay).count();
-        let may_try = self.may_be_relay() && !self.is_relay() && self.has_stood.get();
+        let may_try = self.may_be_relay() && !self.is_relay() && self.was_stored.get();
         may_try && self.rng.borrow_mut().usize(..followers.max(1)) == 0
     }
 
-    /// Notes that a node follows this one; returns whether it bears that one too. Relays come on top, since they are few.
+    /// Records that a node follows this one; returns whether this node accepts it. Relays are always accepted, since
+    /// there are only a few.
     pub(super) fn admits_follower(&self, member: &Member) -> bool {
         if member.is_relay {
             return true;
@@ -141,7 +144,7 @@
         let now = now_us();
         let mut followers = self.followers.borrow_mut();
         if followers.len() >= FOLLOWERS_MAX && !followers.contains_key(&member.vm) {
-            followers.retain(|_, asked_us| now < *asked_us + FOLLOWS_US);
+            followers.retain(|_, asked_us| now < *asked_us + FOLLOWER_EXPIRY_US);
         }
         let admits = followers.len() < FOLLOWERS_MAX || followers.contains_key(&member.vm);
         if admits {
@@ -150,11 +153,11 @@
         admits
     }
 
-    /// Becomes a relay since another node follows this one; returns whether it is one then.
-    pub(super) fn appoint(self: &Rc<Self>) -> bool {
+    /// Becomes a relay since another node follows this one; returns whether this node is a relay afterwards.
+    pub(super) fn accept_relay_role(self: &Rc<Self>) -> bool {
         if !self.is_relay() && self.may_be_relay() {
             self.become_relay("asked");
-            self.hasten.notify_one();
+            self.follow_now.notify_one();
         }
         self.is_relay()
     }
@@ -164,21 +167,22 @@
         self.set_relay(true);
     }
 
-    /// Gives up being a relay, where others tell that the store does not turn them away.
-    pub(super) fn give_up_where_turned_away(self: &Rc<Self>) {
+    /// Resigns as a relay if the store has failed for this node for some time; called when another relay has shown that
+    /// the store answers it.
+    pub(super) fn resign_if_store_unreachable(self: &Rc<Self>) {
         let since_us = self.failing_since_us.get();
-        if self.is_relay() && since_us.is_some_and(|since_us| now_us() >= since_us + TURNED_AWAY_US) {
-            self.give_up_relay("turned away");
+        if self.is_relay() && since_us.is_some_and(|since_us| now_us() >= since_us + STORE_FAILURE_MAX_US) {
+            self.resign_relay("store unreachable from this node");
         }
     }
 
-    fn give_up_relay(self: &Rc<Self>, why: &str) {
+    fn resign_relay(self: &Rc<Self>, why: &str) {
         log::info!("event=member.relay_given_up why=\"{why}\"");
-        self.rests_until_us.set(now_us() + REST_US);
+        self.resigned_until_us.set(now_us() + RESIGNED_US);
         self.registrar.borrow_mut().forget_all();
         self.followers.borrow_mut().clear();
         self.set_relay(false);
-        self.lose_log();
+        self.mark_log_stale();
     }
 
     fn set_relay(self: &Rc<Self>, is_relay: bool) {
--- a/valetrack/src/member/leased/rollout.rs
+++ b/valetrack/src/member/leased/rollout.rs
@@ -1,4 +1,4 @@
-//! Takes the roll-outs that the store shows, and carries those of the own service on.
+//! Records the roll-outs in the store, and advances those of this node's service.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,62 +19,62 @@
 };
 use crate::store::{Change, Item, LeasedChange, LeasedWrite, StoreError, Transacted};
 
-/// Pause between two looks at how a roll-out goes, in milliseconds: a bad version is left within this time and that in
-/// which nodes hear of it.
-const LOOK_MS: u64 = 300;
-/// Nodes that carry a roll-out on: the first by name, and others should it be gone.
-const CARRIERS: usize = 2;
-/// A stand-in acts this much later than the node before it, in milliseconds.
-const STAND_IN_MS: u64 = 1_000;
-/// Owners of the old version that are asked for their counts.
-const OLD_ASKED: usize = 8;
-/// Owners of the new version that are asked for their counts; more than are ever on trial.
-const NEW_ASKED: usize = 16;
+/// Pause between two checks of a roll-out: a bad version is rolled back within this time plus the time in which nodes
+/// receive the decision.
+const CHECK_MS: u64 = 300;
+/// Number of nodes that may advance a roll-out: the first by name, and the next ones if it is left or dead.
+const COORDINATORS: usize = 2;
+/// Delay with which each further coordinator acts after the one before it.
+const TAKEOVER_MS: u64 = 1_000;
+/// Number of owners of the old version that are queried for their counts.
+const OLD_QUERIED: usize = 8;
+/// Number of owners of the new version that are queried for their counts; there are never as many on trial.
+const NEW_QUERIED: usize = 16;
 
-/// What the nodes that carry a roll-out on remember between two looks.
+/// State of a coordinator between two checks of a roll-out.
 #[derive(Default)]
-struct Watched {
-    /// Position of the order, so that another one begins anew.
+struct RolloutWatch {
+    /// Position of the order; a different one resets this state.
     order: u64,
-    /// What each owner of the old version had counted when it was first asked.
+    /// Counts of each owner of the old version at its first query.
     before: HashMap<Target, Vec<RouteRuns>>,
-    /// A decision that this node is to act on, and since when, in microseconds.
+    /// Pending decision, and since when it is pending, in microseconds.
     decided: Option<(Stage, u64)>,
 }
 
 impl Shell {
-    /// Returns whether a key is one of roll-outs.
+    /// Returns whether a key belongs to a roll-out.
     pub(super) fn is_rollout(&self, key: &str) -> bool {
         key.starts_with(DOC_PREFIX) || self.parts.rollouts.ordered_service(key).is_some()
     }
 
-    /// Takes the roll-outs as the whole store shows them.
-    pub(super) fn take_rollouts(&self, items: &[Item]) {
+    /// Applies the roll-outs of a complete read of the store.
+    pub(super) fn apply_rollouts(&self, items: &[Item]) {
         let mut ordered = Vec::new();
         for item in items.iter().filter(|item| self.is_rollout(&item.key)) {
             ordered.extend(self.parts.rollouts.ordered_service(&item.key).map(Arc::from));
-            self.take_rollout(&Change::Put(item.clone()));
+            self.apply_rollout(&Change::Put(item.clone()));
         }
         self.rollouts.borrow_mut().keep_ordered(&ordered);
     }
 
-    /// Takes one change of roll-outs; returns whether it says something new.
-    pub(super) fn take_rollout(&self, change: &Change) -> bool {
+    /// Applies one change of a roll-out; returns whether the recorded roll-outs changed.
+    pub(super) fn apply_rollout(&self, change: &Change) -> bool {
         let service = self.parts.rollouts.ordered_service(change.key());
         let changed = match (change, service) {
-            (Change::Put(item), Some(service)) => self.take_order(service, item),
-            (Change::Put(item), None) => self.take_doc(item),
+            (Change::Put(item), Some(service)) => self.apply_order(service, item),
+            (Change::Put(item), None) => self.apply_doc(item),
             (Change::Gone { .. }, Some(service)) => self.rollouts.borrow_mut().withdrawn(service),
-            // What was reached stays so.
+            // A stage that was reached remains in force without its document.
             (Change::Gone { .. }, None) => false,
         };
         if changed {
-            self.rollout_news.notify_one();
+            self.rollout_changed.notify_one();
         }
         changed
     }
 
-    fn take_order(&self, service: &str, item: &Item) -> bool {
+    fn apply_order(&self, service: &str, item: &Item) -> bool {
         match self.parts.rollouts.read_order(service, &item.value) {
             Ok(order) => {
                 let version = order.version.clone();
@@ -94,9 +94,9 @@
         }
     }
 
-    fn take_doc(&self, item: &Item) -> bool {
-        let taken = self.rollouts.borrow_mut().stored(item, now_us());
-        match taken {
+    fn apply_doc(&self, item: &Item) -> bool {
+        let outcome = self.rollouts.borrow_mut().stored(item, now_us());
+        match outcome {
             Ok(new) => {
                 if new {
                     log::info!("event=rollout.stage key={} position={}", item.key, item.position);
@@ -110,32 +110,32 @@
         }
     }
 
-    /// Carries a roll-out of the own service on; runs as long as the node.
-    pub(super) async fn carry_rollouts(self: Rc<Self>) {
-        let mut watched = Watched::default();
+    /// Advances the roll-outs of this node's service; runs as long as the node.
+    pub(super) async fn advance_rollouts(self: Rc<Self>) {
+        let mut watch = RolloutWatch::default();
         loop {
             let Some(rollout) = self.open_rollout() else {
-                self.rollout_news.notified().await;
+                self.rollout_changed.notified().await;
                 continue;
             };
-            if let Some(place) = self.place_among_carriers(&rollout) {
-                self.carry(&rollout, place, &mut watched).await;
+            if let Some(rank) = self.coordinator_rank(&rollout) {
+                self.advance(&rollout, rank, &mut watch).await;
             }
-            sleep(Duration::from_millis(LOOK_MS)).await;
+            sleep(Duration::from_millis(CHECK_MS)).await;
         }
     }
 
-    /// Returns the roll-out of the own service, if more is to come of it.
+    /// Returns the roll-out of this node's service, unless it has reached a final stage.
     fn open_rollout(&self) -> Option<RolloutStage> {
         let rollout = self.rollouts.borrow().of(&self.parts.me.service);
         rollout.filter(|rollout| !rollout.stage.is_some_and(Stage::is_final))
     }
 
-    /// Returns the place of this node among those that carry a roll-out on, if it is one of them.
-    fn place_among_carriers(&self, rollout: &RolloutStage) -> Option<usize> {
+    /// Returns the rank of this node among the coordinators of a roll-out, if it is one of them.
+    fn coordinator_rank(&self, rollout: &RolloutStage) -> Option<usize> {
         let servers = self.servers_of_own_service();
         let old = servers.iter().filter(|member| member.version.as_ref() != Some(&rollout.order.version));
-        old.take(CARRIERS).position(|member| member.vm == self.parts.me.vm)
+        old.take(COORDINATORS).position(|member| member.vm == self.parts.me.vm)
     }
 
     fn servers_of_own_service(&self) -> Vec<Member> {
@@ -144,11 +144,12 @@
         members.iter().filter(own).cloned().collect()
     }
 
-    async fn carry(self: &Rc<Self>, rollout: &RolloutStage, place: usize, watched: &mut Watched) {
-        if watched.order != rollout.ordered_at.wire_revision() {
-            *watched = Watched { order: rollout.ordered_at.wire_revision(), ..Watched::default() };
+    /// Decides on the next stage of a roll-out, and writes it when this coordinator's delay has passed.
+    async fn advance(self: &Rc<Self>, rollout: &RolloutStage, rank: usize, watch: &mut RolloutWatch) {
+        if watch.order != rollout.ordered_at.wire_revision() {
+            *watch = RolloutWatch { order: rollout.ordered_at.wire_revision(), ..RolloutWatch::default() };
         }
-        let evidence = self.evidence(rollout, watched).await;
+        let evidence = self.evidence(rollout, watch).await;
         let now = now_us();
         let progress = Progress {
             stage: rollout.stage,
@@ -157,12 +158,12 @@
             within_ms: rollout.order.within_ms,
         };
         let Decision::Reach(stage) = decide(progress, &evidence) else {
-            watched.decided = None;
+            watch.decided = None;
             return;
         };
-        let since_us = watched.decided.filter(|(decided, _)| *decided == stage).map_or(now, |(_, since_us)| since_us);
-        watched.decided = Some((stage, since_us));
-        if now < since_us + place as u64 * STAND_IN_MS * 1_000 {
+        let since_us = watch.decided.filter(|(decided, _)| *decided == stage).map_or(now, |(_, since_us)| since_us);
+        watch.decided = Some((stage, since_us));
+        if now < since_us + rank as u64 * TAKEOVER_MS * 1_000 {
             return;
         }
         match self.write_stage(rollout, stage).await {
@@ -177,28 +178,29 @@
         }
     }
 
-    /// Asks owners of both versions how their runs ended.
-    async fn evidence(self: &Rc<Self>, rollout: &RolloutStage, watched: &mut Watched) -> Evidence {
+    /// Queries owners of both versions for the outcomes of their runs.
+    async fn evidence(self: &Rc<Self>, rollout: &RolloutStage, watch: &mut RolloutWatch) -> Evidence {
         let servers = self.servers_of_own_service();
         let is_new = |member: &&Member| member.version.as_ref() == Some(&rollout.order.version);
         let (new, old): (Vec<&Member>, Vec<&Member>) = servers.iter().partition(is_new);
         let mut evidence = Evidence { new_servers: new.len(), old_servers: old.len(), ..Evidence::default() };
-        for (_, runs) in self.ask_runs(&new, NEW_ASKED).await {
+        for (_, runs) in self.query_runs(&new, NEW_QUERIED).await {
             add_runs(&mut evidence.new_runs, &runs);
         }
-        for (owner, runs) in self.ask_runs(&old, OLD_ASKED).await {
-            let before = watched.before.entry(owner).or_insert_with(|| runs.clone());
+        for (owner, runs) in self.query_runs(&old, OLD_QUERIED).await {
+            let before = watch.before.entry(owner).or_insert_with(|| runs.clone());
             add_runs(&mut evidence.old_runs, &since(&runs, before));
         }
         evidence
     }
 
-    async fn ask_runs(self: &Rc<Self>, owners: &[&Member], most: usize) -> Vec<(Target, Vec<RouteRuns>)> {
-        let asked = owners.iter().take(most).map(|member| {
+    /// Queries at most `limit` owners for the counts of their runs.
+    async fn query_runs(self: &Rc<Self>, owners: &[&Member], limit: usize) -> Vec<(Target, Vec<RouteRuns>)> {
+        let queries = owners.iter().take(limit).map(|member| {
             let target = Target { vm: member.vm.clone(), addr: member.link_addr };
             async move {
-                let question = Question { ask: Ask::Runs, body: Bytes::new() };
-                let LinkResult::Reply(answered) = self.ask(target.clone(), question).await else {
+                let request = Question { ask: Ask::Runs, body: Bytes::new() };
+                let LinkResult::Reply(answered) = self.request(target.clone(), request).await else {
                     return None;
                 };
                 let Reply::Runs(runs) = answered.head.reply else {
@@ -207,10 +209,10 @@
                 Some((target, runs))
             }
         });
-        futures::future::join_all(asked).await.into_iter().flatten().collect()
+        futures::future::join_all(queries).await.into_iter().flatten().collect()
     }
 
-    /// Writes the stage that a roll-out has reached, and tells operators of it.
+    /// Writes the stage that a roll-out has reached, together with its status for operators.
     async fn write_stage(self: &Rc<Self>, rollout: &RolloutStage, stage: Stage) -> Result<(), StoreError> {
         let order = &rollout.order;
         let doc = RolloutDoc { version: order.version.clone(), order: rollout.ordered_at.wire_revision(), stage };
@@ -225,12 +227,12 @@
                 self.store_answered(position.era());
                 Ok(())
             }
-            Transacted::Conflict(_) => Err(StoreError::Refused { reason: "another node was first".into() }),
+            Transacted::Conflict(_) => Err(StoreError::Refused { reason: "another node wrote a stage first".into() }),
         }
     }
 }
 
-/// Adds runs by route.
+/// Adds the counts of runs to a sum, route by route.
 fn add_runs(sum: &mut Vec<RouteRuns>, runs: &[RouteRuns]) {
     for runs in runs {
         match sum.iter_mut().find(|known| known.route == runs.route) {
@@ -240,7 +242,7 @@
     }
 }
 
-/// Returns what was counted since; an upstream that has started anew counts from zero again.
+/// Returns the counts since `before`; an upstream that was restarted counts from zero again.
 fn since(runs: &[RouteRuns], before: &[RouteRuns]) -> Vec<RouteRuns> {
     let less = |runs: &RouteRuns| {
         let known = before.iter().find(|known| known.route == runs.route && known.runs <= runs.runs);
--- a/valetrack/src/member/list.rs
+++ b/valetrack/src/member/list.rs
@@ -15,16 +15,16 @@
 use super::message::ListedVm;
 use crate::code::Code;
 
-/// Largest list that is read, in bytes: 12,000 VMs of some 200 bytes, and room to grow.
+/// Largest list that is accepted: 12,000 VMs of some 200 bytes each, and room for growth.
 const LIST_MAX_BYTES: usize = 16 * 1024 * 1024;
-/// Time limit of one look, in milliseconds.
-const LIST_MS: u64 = 2_000;
+/// Time limit of one poll.
+const LIST_TIMEOUT_MS: u64 = 2_000;
 
 /// The list could not be read.
 #[derive(Debug, Snafu)]
-#[snafu(display("VM list not read: {reason}"))]
+#[snafu(display("could not read the VM list: {reason}"))]
 pub struct ListError {
-    /// Why.
+    /// The cause.
     pub reason: String,
 }
 
@@ -35,9 +35,9 @@
     }
 }
 
-/// The platform's list, as far as valetrack uses it.
+/// Source of the platform's list of VMs.
 pub trait VmList: Send + Sync {
-    /// Reads all rows; they may be old.
+    /// Reads all rows, which may be outdated.
     fn read(&self) -> BoxFuture<'_, Result<Vec<ListedVm>, ListError>>;
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl HttpList {
-    /// Makes a client of the list at an address.
+    /// Creates a client of the list served at an address.
     pub fn new(addr: SocketAddr) -> Self {
         Self { addr }
     }
@@ -56,7 +56,7 @@
         let stream = TcpStream::connect(self.addr).await.map_err(failed)?;
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(failed)?;
-        // The task ends by itself with its sender.
+        // The connection task ends once its sender is dropped.
         tokio::spawn(connection);
         let request = Request::get("/vms").header("host", self.addr.to_string()).body(Empty::<Bytes>::new());
         let answer = sender.send_request(request.map_err(failed)?).await.map_err(failed)?;
@@ -72,8 +72,8 @@
 impl VmList for HttpList {
     fn read(&self) -> BoxFuture<'_, Result<Vec<ListedVm>, ListError>> {
         Box::pin(async {
-            let limit = Duration::from_millis(LIST_MS);
-            timeout(limit, self.get()).await.unwrap_or_else(|_| Err(failed("time limit")))
+            let limit = Duration::from_millis(LIST_TIMEOUT_MS);
+            timeout(limit, self.get()).await.unwrap_or_else(|_| Err(failed("request timed out")))
         })
     }
 }
--- a/valetrack/src/member/message.rs
+++ b/valetrack/src/member/message.rs
@@ -1,4 +1,4 @@
-//! Messages of membership.
+//! Types that membership exchanges with other threads and nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,22 +13,22 @@
 use crate::rollout::ServerPart;
 use crate::store::Position;
 
-/// Life of one incarnation of a VM; it only goes forward.
+/// Phase of one incarnation of a VM; it only moves forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It starts and takes no work yet.
+    /// It starts and accepts no calls yet.
     Joining,
-    /// It takes work.
+    /// It accepts calls.
     Serving,
-    /// It takes no new work.
+    /// It accepts no new calls.
     Leaving,
-    /// It is no more.
+    /// It has left or is dead.
     Gone,
 }
 
 impl Phase {
-    /// Returns its name in log lines.
+    /// Returns the name used in log lines.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Joining => "joining",
@@ -39,25 +39,25 @@
     }
 }
 
-/// What is known of one VM.
+/// State of one VM and its node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Name of the VM.
     pub vm: Arc<str>,
-    /// Start of this life of the VM, in microseconds since 1970; a later life goes first.
+    /// Start time of this incarnation, in microseconds since 1970; the later of two incarnations supersedes the other.
     pub incarnation: u64,
-    /// Where it is in this life.
+    /// Phase of this incarnation.
     pub phase: Phase,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// The service whose server it holds.
+    /// The service that its server belongs to.
     pub service: Arc<str>,
-    /// Where its node listens for links.
+    /// Address on which its node listens for links.
     pub link_addr: SocketAddr,
-    /// Version of its server's software, where the server tells it.
+    /// Version of its server's software, if the server reports it.
     #[serde(default)]
     pub version: Option<Arc<str>>,
-    /// Whether its node follows the store for others of its failure domain and keeps their entries in it.
+    /// Whether its node follows the store on behalf of other nodes and keeps their entries in it.
     #[serde(default)]
     pub is_relay: bool,
 }
@@ -69,27 +69,27 @@
     pub vm: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// The service whose server it holds.
+    /// The service that its server belongs to.
     pub service: Arc<str>,
-    /// Where its node listens for links.
+    /// Address on which its node listens for links.
     pub link_addr: SocketAddr,
-    /// Whether the platform is about to take the VM away.
+    /// Whether the platform is about to remove the VM.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// A VM whose server may get calls.
+/// A VM whose server may be sent calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
     /// Name of the VM.
     pub vm: Arc<str>,
-    /// Its life; zero while only the list has told of it.
+    /// Its incarnation; zero while only the platform's list has reported the VM.
     pub incarnation: u64,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Where its node listens for links.
+    /// Address on which its node listens for links.
     pub link_addr: SocketAddr,
-    /// What it may get while its service is rolled out.
+    /// Its traffic share while its service is rolled out.
     pub part: ServerPart,
 }
 
@@ -117,73 +117,73 @@
     }
 }
 
-/// What a node tells in reply to an exchange.
+/// A node's part of a gossip exchange, sent in reply.
 #[derive(Debug, Default)]
 pub struct Known {
-    /// VMs that it knows, its own first.
+    /// VMs that it has recorded, its own first.
     pub members: Vec<Member>,
-    /// What it says of its pages of claims.
+    /// Its report on its pages of claims.
     pub claims: ClaimNews,
 }
 
-/// What a follower is told.
+/// Reply to a node that follows this one.
 #[derive(Debug)]
 pub enum FollowerNews {
-    /// What has changed in the store, packed once for all that lack the same.
+    /// Changes in the store.
     News {
-        /// The news.
+        /// The changes, packed once for all followers that lack the same ones.
         packed: Bytes,
-        /// How long ago the store was known to stand where they end, in milliseconds.
+        /// How long ago the store was known to be at the end of these changes.
         age_ms: u32,
     },
     /// This node is behind the store itself.
     Behind,
-    /// As many nodes follow this one as it bears.
+    /// This node accepts no more followers.
     Full,
 }
 
-/// Something for the member thread.
+/// A job for the member thread.
 #[derive(Debug)]
 pub enum MemberJob {
-    /// Another node told what it knows.
+    /// Another node has sent its state in a gossip exchange.
     Heard {
-        /// VMs.
+        /// VMs that it has recorded.
         members: Vec<Member>,
-        /// Failure domains that are evacuated as far as it knows.
+        /// Failure domains that it considers evacuated.
         evacuation: Evacuation,
         /// Number of the bundle in force there.
         bundle: u64,
-        /// What it says of its pages of claims.
+        /// Its report on its pages of claims.
         claims: ClaimNews,
-        /// Where this node's own knowledge goes.
+        /// Receives this node's own state.
         reply: Option<oneshot::Sender<Known>>,
     },
-    /// A reply showed that a later bundle is in force elsewhere.
+    /// A reply showed that a later bundle is in force at another node.
     Bundle {
         /// Its number.
         number: u64,
-        /// Who has it.
+        /// The node that has it.
         from: Target,
     },
-    /// An owner gave a call back since its failure domain is evacuated.
+    /// An owner declined an attempt since its failure domain is evacuated.
     Evacuation {
-        /// Which.
+        /// The owner.
         from: Target,
     },
-    /// Another node follows this one in place of the store.
+    /// Another node follows this one instead of the store.
     Follow {
         /// Position up to which it has read the store.
         after: Position,
-        /// Longest time that it waits for a change, in milliseconds.
+        /// Longest time that it waits for a change.
         wait_ms: u32,
-        /// The node itself, whose entry is to be kept.
+        /// State of the follower, which this node keeps in the store.
         me: Box<Member>,
-        /// Where the news go.
+        /// Receives the changes.
         reply: oneshot::Sender<FollowerNews>,
     },
     /// A reply showed that another node lacks the bundle in force here.
     Behind {
-        /// Which.
+        /// The other node.
         peer: Target,
     },
 }
--- a/valetrack/src/member/mod.rs
+++ b/valetrack/src/member/mod.rs
@@ -1,7 +1,7 @@
-//! VMs: the platform's list, lives of VMs, leaving.
+//! Membership: the platform's list of VMs, the nodes' entries in the store, and the phases of each incarnation.
 //!
-//! Contract: phases only grow within one life of a VM, a later life replaces an earlier one, and
-//! no order of messages or age of the list brings an earlier state back.
+//! Contract: within one incarnation of a VM the phase only moves forward, a later incarnation replaces an earlier one,
+//! and neither reordered messages nor an outdated list restore an earlier state.
 
 mod directory;
 mod evacuation;
@@ -22,6 +22,6 @@
 pub use lease::{EntryKeeper, EntryStep, SeenEntry};
 pub use message::{Candidate, FollowerNews, Known, ListedVm, Member, MemberJob, Phase};
 pub use registrar::{Batch, Registrar};
-pub use relay::{AGE_MAX_US, ChangeLog, StoreNews, Taken};
-pub use role::{Avoided, GROUP_MAX, is_needed, is_surplus, relay_of, volunteers};
+pub use relay::{AGE_MAX_US, ApplyOutcome, ChangeLog, StoreNews};
+pub use role::{AvoidReason, GROUP_MAX, is_candidate, is_needed, is_surplus, relay_of};
 pub use state::{GONE_AFTER_US, Members};
--- a/valetrack/src/member/registrar.rs
+++ b/valetrack/src/member/registrar.rs
@@ -1,5 +1,5 @@
-//! Pure decisions of a relay on the entries of the nodes that follow it: it keeps them in the store under its own lease,
-//! many in one transaction.
+//! State machine that keeps the entries of a relay's followers in the store, under the relay's lease and many in one
+//! transaction.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,12 +9,12 @@
 use super::message::{Member, Phase};
 use crate::store::{Era, Lease, LeasedChange, LeasedWrite, Position, StoreError, TRANSACTION_MAX};
 
-/// A follower that was heard of no longer ago than this is believed to live and to follow this node, in microseconds: it
-/// asks at least once a second.
+/// A follower whose last request is no older than this counts as live and as following this node: it sends a request at
+/// least once a second.
 const FRESH_US: u64 = 1_500_000;
-/// The entry of a follower that is silent for this part of a lease's time is taken away, as a divisor of the rest.
+/// Quarters of a lease's lifetime after which the entry of an unresponsive follower is removed.
 const SILENT_QUARTERS: u64 = 3;
-/// A follower is silent for this long at least before its entry is taken away, in microseconds.
+/// Shortest time for which a follower is unresponsive before its entry is removed.
 const SILENT_MIN_US: u64 = 3_000_000;
 
 /// A follower and its entry.
@@ -22,22 +22,22 @@
 struct Follower {
     member: Member,
     keeper: EntryKeeper,
-    heard_us: u64,
-    /// Whether it has said that it is about to exit.
+    last_request_us: u64,
+    /// Whether it has reported that it is about to exit.
     has_left: bool,
 }
 
-/// Changes that go to the store at once, with the followers that they are of.
+/// Changes that are written in one transaction, with the followers that they belong to.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     /// The changes.
     pub changes: Vec<LeasedChange>,
-    /// The followers, in the order of the changes, with the version of the entry that is written; none where it is
-    /// taken away.
+    /// The followers, in the order of the changes, each with the version of the entry that is written; none if the entry
+    /// is removed.
     pub followers: Vec<(Arc<str>, Option<u64>)>,
 }
 
-/// The entries of the nodes that follow this one.
+/// The nodes that follow this one and the state of their entries.
 #[derive(Debug)]
 pub struct Registrar {
     followers: BTreeMap<Arc<str>, Follower>,
@@ -46,13 +46,13 @@
 }
 
 impl Registrar {
-    /// Makes a registrar without followers whose lease outlives its last word by `lease_ms`.
+    /// Creates a registrar without followers, for leases of `lease_ms`.
     pub fn new(lease_ms: u64) -> Self {
         let silent_us = (lease_ms * 1_000 / 4 * SILENT_QUARTERS).max(SILENT_MIN_US);
         Self { followers: BTreeMap::new(), era: Era::default(), silent_us }
     }
 
-    /// Returns whether nobody follows this node.
+    /// Returns whether this node has no followers.
     pub fn is_empty(&self) -> bool {
         self.followers.is_empty()
     }
@@ -62,19 +62,19 @@
         self.followers.len()
     }
 
-    /// Takes what a follower says of itself; returns whether its entry is to be written. `stands` is where its entry
-    /// stands in the store as far as this node has read it.
-    pub fn heard(&mut self, member: &Member, stands: Option<Position>, now_us: u64) -> bool {
+    /// Records the state that a follower has sent; returns whether its entry must be written. `stored` is the position
+    /// of its entry as this node last read it from the store.
+    pub fn record_follower(&mut self, member: &Member, stored: Option<Position>, now_us: u64) -> bool {
         let era = self.era;
         let follower = self.followers.entry(member.vm.clone()).or_insert_with(|| {
             let mut keeper = EntryKeeper::default();
             keeper.enter(era, now_us);
-            if let Some(position) = stands {
+            if let Some(position) = stored {
                 keeper.conflicted(Some(position));
             }
-            Follower { member: member.clone(), keeper, heard_us: now_us, has_left: false }
+            Follower { member: member.clone(), keeper, last_request_us: now_us, has_left: false }
         });
-        follower.heard_us = now_us;
+        follower.last_request_us = now_us;
         follower.has_left = member.phase == Phase::Gone;
         let changed = follower.member != *member || follower.keeper.wanted() == 0;
         if changed {
@@ -89,28 +89,28 @@
         self.followers.contains_key(vm)
     }
 
-    /// Forgets a follower whose entry another node keeps, or that keeps it itself.
+    /// Removes a follower whose entry is kept by another node or by the follower itself.
     pub fn forget(&mut self, vm: &str) {
         self.followers.remove(vm);
     }
 
-    /// Forgets all followers, since this node is no relay any more; they find another one.
+    /// Removes all followers, since this node is no longer a relay; they find another one.
     pub fn forget_all(&mut self) {
         self.followers.clear();
     }
 
-    /// Notes that the store has come back older.
+    /// Records a store rollback.
     pub fn enter(&mut self, era: Era, now_us: u64) {
         self.era = self.era.max(era);
         self.each(|keeper| keeper.enter(era, now_us));
     }
 
-    /// Notes that the lease of the entries is over, and the entries with it.
+    /// Records that the lease of the entries has expired and the entries were removed with it.
     pub fn lease_over(&mut self) {
         self.each(EntryKeeper::lease_over);
     }
 
-    /// Takes the entry of a follower as the store shows it, where this node's lease is `own`.
+    /// Records the entry of a follower as read from the store; `own` is the id of this node's lease.
     pub fn seen(&mut self, vm: &str, entry: SeenEntry, own: Option<u64>) {
         let Some(follower) = self.followers.get_mut(vm) else {
             return;
@@ -118,14 +118,15 @@
         let known = follower.keeper.position();
         let is_newer = known.is_none_or(|known| entry.position.supersedes(known));
         if is_newer && entry.lease != own {
-            // Whoever wrote it keeps it, or the follower is about to say that it still follows this node.
+            // The node that wrote it keeps it from now on. A follower that still follows this node is recorded again
+            // with its next request.
             self.followers.remove(vm);
             return;
         }
         follower.keeper.seen(entry);
     }
 
-    /// Takes that the entry of a follower does not exist at a position of the store.
+    /// Records that the entry of a follower does not exist at a position of the store.
     pub fn missing(&mut self, vm: &str, at: Position) {
         if let Some(follower) = self.followers.get_mut(vm) {
             follower.keeper.missing(at);
@@ -137,26 +138,27 @@
         self.followers.keys()
     }
 
-    /// Returns what is to be written under a lease that was confirmed by a call sent at `confirmed_us`.
+    /// Returns the changes that are due, to be written under a lease that was confirmed by a call sent at
+    /// `confirmed_us`.
     ///
     /// # Errors
     ///
-    /// Returns that an entry cannot be put in writing.
+    /// Returns an error if an entry cannot be serialized.
     pub fn batch(&mut self, lease: Lease, confirmed_us: u64, now_us: u64) -> Result<Batch, StoreError> {
         let mut batch = Batch::default();
-        let mut silent = Vec::new();
+        let mut expired = Vec::new();
         for (vm, follower) in &mut self.followers {
             if batch.changes.len() >= TRANSACTION_MAX {
                 break;
             }
-            if follower.has_left || now_us >= follower.heard_us + self.silent_us {
+            if follower.has_left || now_us >= follower.last_request_us + self.silent_us {
                 match follower.keeper.position() {
                     Some(expected) => batch.push(vm, LeasedChange::Remove { key: entry_key(vm), expected }, None),
-                    None => silent.push(vm.clone()),
+                    None => expired.push(vm.clone()),
                 }
                 continue;
             }
-            if now_us >= follower.heard_us + FRESH_US {
+            if now_us >= follower.last_request_us + FRESH_US {
                 continue;
             }
             if let Some(expected) = follower.due(lease, confirmed_us, now_us) {
@@ -164,13 +166,13 @@
                 batch.push(vm, follower.put(lease, expected)?, Some(version));
             }
         }
-        for vm in silent {
+        for vm in expired {
             self.followers.remove(&vm);
         }
         Ok(batch)
     }
 
-    /// Takes that a batch took effect at a position.
+    /// Records that a batch took effect at a position.
     pub fn wrote(&mut self, batch: &Batch, position: Position) {
         for (vm, version) in &batch.followers {
             match (version, self.followers.get_mut(vm)) {
@@ -183,10 +185,10 @@
         }
     }
 
-    /// Takes where the entries of a batch stand that did not take effect; whoever is not heard of since the batch was
-    /// made has turned to another node, which wrote it.
-    pub fn conflicted(&mut self, batch: &Batch, stands: &[(String, Option<Position>)]) {
-        for ((vm, version), (_, position)) in batch.followers.iter().zip(stands) {
+    /// Records the positions of the entries of a batch that did not take effect. An entry that was due for removal and
+    /// has changed since was written by another relay that its node follows now, so that the follower is removed here.
+    pub fn conflicted(&mut self, batch: &Batch, found: &[(String, Option<Position>)]) {
+        for ((vm, version), (_, position)) in batch.followers.iter().zip(found) {
             let Some(follower) = self.followers.get_mut(vm) else {
                 continue;
             };
@@ -207,7 +209,8 @@
 }
 
 impl Follower {
-    /// Returns where the entry is expected to stand, none where it does not, if it is to be written now.
+    /// Returns, if the entry must be written now, its expected position in the store; the inner value is none if it is
+    /// expected not to exist.
     fn due(&mut self, lease: Lease, confirmed_us: u64, now_us: u64) -> Option<Option<Position>> {
         if lease.era != self.keeper.era() {
             return None;
@@ -241,7 +244,7 @@
         self.changes.is_empty()
     }
 
-    /// Returns the names of the followers as they stand in log lines.
+    /// Returns the names of the followers in the format of log lines.
     pub fn names(&self) -> String {
         let names: Vec<&str> = self.followers.iter().map(|(vm, _)| &**vm).collect();
         format!("\"{}\"", names.join(","))
--- a/valetrack/src/member/relay.rs
+++ b/valetrack/src/member/relay.rs
@@ -1,4 +1,4 @@
-//! What a node has read of the store, kept for the nodes that follow it in place of the store.
+//! Contents of the store as a node has read them, with the latest changes, for the nodes that follow this one.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,43 +6,43 @@
 
 use crate::store::{Change, Era, Item, Position, Relation};
 
-/// News older than this are not relied on where an operator's change is to be in force within two seconds, in
-/// microseconds: a node that finds its relay behind still has to find another one.
+/// Age above which a node does not rely on what it has read, where an operator's change must be in force within two
+/// seconds: a node whose relay is behind needs the rest of that time to find another relay.
 pub const AGE_MAX_US: u64 = 1_200_000;
-/// Part of the age up to which news are relied on for which one call for changes waits, in twelfths: it says how old the
-/// news of followers may be.
+/// Longest wait of a watch call, in twelfths of the age limit: it bounds the age of the changes that followers get.
 const WAIT_TWELFTHS: u64 = 7;
-/// The same where relays pass the news on, which then grow older on their way.
+/// Longest wait of a watch call of the reader, in twelfths of the age limit: the changes age further while relays
+/// forward them.
 const POLL_TWELFTHS: u64 = 5;
-/// The same part for which changes are gathered.
+/// Time for which changes are collected before they are read, in twelfths of the age limit.
 const GATHER_TWELFTHS: u64 = 2;
-/// The same when it is about to be behind, in milliseconds.
+/// Shortest wait of a call for changes.
 const RELAY_WAIT_MIN_MS: u64 = 50;
-/// A relay's call is to end this long before its news are too old, in milliseconds: the answer is
-/// on its way for some milliseconds, and a relay may be short of processor time.
+/// A relay's call ends this long before its log exceeds the age limit: the answer is in flight for some milliseconds,
+/// and a relay may be short of processor time.
 const RELAY_AHEAD_MS: u64 = 250;
-/// Changes that are kept for followers; one that is further behind is sent everything.
+/// Number of changes that are kept for followers; a follower that is further behind is sent all items.
 const CHANGES_MAX: usize = 512;
 
-/// What a follower is sent.
+/// Update of a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreNews {
-    /// Whether the changes are all items there are, and what is not among them does not exist.
+    /// Whether the changes are a complete copy, so that keys that are not among them do not exist.
     pub whole: bool,
     /// The changes, in their order.
     pub changes: Vec<Change>,
-    /// Position up to which they go.
+    /// Position up to which the changes are complete.
     pub at: Position,
 }
 
-/// What became of something that was read.
+/// Outcome of applying a read to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
-    /// It is the newest that is known.
+pub enum ApplyOutcome {
+    /// The read was applied and is the newest state.
     Newest,
-    /// It shows an earlier state than is known, and was dropped.
+    /// The read shows an earlier state than the log holds, and was dropped.
     Outdated,
-    /// It does not go on from what is known, since the store has come back older; everything is to be read.
+    /// The changes do not continue from the log's position, for example after a store rollback; all items must be read.
     Disconnected,
 }
 
@@ -51,13 +51,13 @@
 pub struct ChangeLog {
     items: BTreeMap<String, Item>,
     changes: VecDeque<Change>,
-    /// `changes` holds all that came after this position.
+    /// `changes` holds all changes after this position.
     complete_after: Position,
     /// Position up to which the store was read.
     at: Position,
-    /// When the store was last known to stand at `at`; none when a call has failed since.
+    /// When the store was last known to be at `at`; none if a call has failed since.
     confirmed_us: Option<u64>,
-    /// Age up to which it is relied on, in microseconds.
+    /// Age limit above which the log is not relied on.
     age_max_us: u64,
 }
 
@@ -75,17 +75,17 @@
 }
 
 impl ChangeLog {
-    /// Makes an empty log that is relied on up to an age, in microseconds.
+    /// Creates an empty log with an age limit.
     pub fn with_age_max(age_max_us: u64) -> Self {
         Self { age_max_us, ..Self::default() }
     }
 
-    /// Returns the age up to which news are relied on, in microseconds.
+    /// Returns the age limit above which the log is not relied on.
     pub fn age_max_us(&self) -> u64 {
         self.age_max_us
     }
 
-    /// Returns where a key's last change stands, if the key exists.
+    /// Returns the position of a key's last change, if the key exists.
     pub fn position_of(&self, key: &str) -> Option<Position> {
         self.items.get(key).map(|item| item.position)
     }
@@ -95,7 +95,7 @@
         self.at
     }
 
-    /// Returns the latest era that was heard of.
+    /// Returns the latest era that was observed.
     pub fn era(&self) -> Era {
         self.at.era()
     }
@@ -105,7 +105,7 @@
         self.items.values()
     }
 
-    /// Notes that the store is in an era; returns whether it is a later one, of which nothing is known yet.
+    /// Records that the store is in an era. A later era than the log's empties the log; returns whether it was later.
     pub fn enter(&mut self, era: Era) -> bool {
         if era <= self.at.era() {
             return false;
@@ -115,34 +115,34 @@
         true
     }
 
-    /// Takes all items, as the store held them at `at` and at `confirmed_us`.
+    /// Replaces all items by those that the store held at position `at` and time `confirmed_us`.
     ///
-    /// Across eras the later one counts, whatever the revisions are: a store that came back older stands at a
-    /// lower revision than was read before, and its reads would be dropped until it has reached that one again.
-    pub fn read(&mut self, items: &[Item], at: Position, confirmed_us: u64) -> Taken {
+    /// A later era supersedes an earlier one, whatever the revisions are: after a rollback the store is at a lower
+    /// revision than was read before, and a comparison by revision would drop its reads until it reaches that one again.
+    pub fn read(&mut self, items: &[Item], at: Position, confirmed_us: u64) -> ApplyOutcome {
         if self.at.supersedes(at) {
-            return Taken::Outdated;
+            return ApplyOutcome::Outdated;
         }
         self.items = items.iter().map(|item| (item.key.clone(), item.clone())).collect();
         self.changes.clear();
         self.complete_after = at;
         self.at = at;
         self.confirmed_us = Some(confirmed_us);
-        Taken::Newest
+        ApplyOutcome::Newest
     }
 
-    /// Takes the changes between `after` and `at`, where the store stood at `confirmed_us`.
+    /// Applies the changes between `after` and `at`, where the store was at `confirmed_us`.
     ///
-    /// They are taken only where they go on from what is known. An answer of a later era tells the changes behind the
-    /// same revision, and nothing of what the store has lost and has written up to there instead.
-    pub fn apply(&mut self, changes: &[Change], after: Position, at: Position, confirmed_us: u64) -> Taken {
+    /// They are applied only if they continue from the log's position. An answer of a later era holds the changes after
+    /// the same revision, but neither the changes that the rollback lost nor those written in their place.
+    pub fn apply(&mut self, changes: &[Change], after: Position, at: Position, confirmed_us: u64) -> ApplyOutcome {
         if at.era() == self.at.era() && (self.at.is_start() || after.relation_to(self.at).is_gap()) {
-            return Taken::Disconnected;
+            return ApplyOutcome::Disconnected;
         }
         match at.relation_to(self.at) {
-            // The second is of a relay that has read less than this node.
-            Relation::EarlierEra | Relation::Before => return Taken::Outdated,
-            Relation::LaterEra => return Taken::Disconnected,
+            // `Before` occurs when the relay has read less than this node.
+            Relation::EarlierEra | Relation::Before => return ApplyOutcome::Outdated,
+            Relation::LaterEra => return ApplyOutcome::Disconnected,
             Relation::Same | Relation::Behind => self.at = at,
         }
         for change in changes {
@@ -164,66 +164,66 @@
             }
         }
         self.confirmed_us = self.confirmed_us.max(Some(confirmed_us));
-        Taken::Newest
+        ApplyOutcome::Newest
     }
 
-    /// Notes that the store, or the relay in its place, did not answer.
-    pub fn lose(&mut self) {
+    /// Marks the log as stale, since the store or the relay did not answer.
+    pub fn mark_stale(&mut self) {
         self.confirmed_us = None;
     }
 
-    /// Returns until when the log may be relied on, in microseconds; none when it may not.
+    /// Returns until when the log may be relied on; none if it is stale.
     pub fn current_until_us(&self) -> Option<u64> {
         self.confirmed_us.map(|confirmed_us| confirmed_us + self.age_max_us)
     }
 
-    /// Returns how long a relay's next call for changes may wait, in milliseconds, so that its
-    /// answer comes before the log is too old for followers.
+    /// Returns how long a relay's next call for changes may wait, so that its answer arrives before the log is too old
+    /// for followers.
     pub fn relay_wait_ms(&self, now_us: u64) -> u64 {
         let left_ms = self.current_until_us().map_or(0, |until_us| until_us.saturating_sub(now_us) / 1000);
         left_ms.saturating_sub(RELAY_AHEAD_MS).clamp(RELAY_WAIT_MIN_MS, self.wait_max_ms())
     }
 
-    /// Returns how long the next call for changes of the reader may wait, in milliseconds, so that its news are never
-    /// older than they may be for relays to pass them on.
+    /// Returns how long the reader's next call for changes may wait, so that its log always stays fresh enough for
+    /// relays to forward it.
     pub fn reader_poll_ms(&self, now_us: u64) -> u64 {
-        let left_ms = self.part_ms(POLL_TWELFTHS).saturating_sub(self.age_us(now_us) / 1_000);
+        let left_ms = self.twelfths_ms(POLL_TWELFTHS).saturating_sub(self.age_us(now_us) / 1_000);
         left_ms.max(RELAY_WAIT_MIN_MS)
     }
 
-    /// Returns for how long changes are gathered before they are read, in milliseconds: those that come together are then
-    /// read in one call.
+    /// Returns how long changes are collected before they are read, so that changes in quick succession are read in one
+    /// call.
     pub fn gather_ms(&self) -> u64 {
-        self.part_ms(GATHER_TWELFTHS)
+        self.twelfths_ms(GATHER_TWELFTHS)
     }
 
-    /// Returns whether the news of a reader are older than those of one that the store answers.
+    /// Returns whether an update of the reader is older than it would be if the store answered the reader.
     pub fn is_reader_late(&self, age_ms: u32) -> bool {
-        u64::from(age_ms) > self.part_ms(POLL_TWELFTHS + GATHER_TWELFTHS) + RELAY_AHEAD_MS / 2
+        u64::from(age_ms) > self.twelfths_ms(POLL_TWELFTHS + GATHER_TWELFTHS) + RELAY_AHEAD_MS / 2
     }
 
-    /// Returns how long one question of a relay to the reader waits, in milliseconds, so that the news of both together
-    /// are not too old for followers.
+    /// Returns how long a relay's request to the reader waits, so that the delays of both together do not exceed the
+    /// age limit of followers.
     pub fn reader_wait_ms(&self) -> u64 {
-        let taken_ms = self.part_ms(POLL_TWELFTHS + GATHER_TWELFTHS) + RELAY_AHEAD_MS;
-        (self.age_max_us / 1_000).saturating_sub(taken_ms).max(RELAY_WAIT_MIN_MS)
+        let reader_ms = self.twelfths_ms(POLL_TWELFTHS + GATHER_TWELFTHS) + RELAY_AHEAD_MS;
+        (self.age_max_us / 1_000).saturating_sub(reader_ms).max(RELAY_WAIT_MIN_MS)
     }
 
-    /// Returns the longest wait of a call for changes, in milliseconds.
+    /// Returns the longest wait of a call for changes.
     fn wait_max_ms(&self) -> u64 {
-        self.part_ms(WAIT_TWELFTHS)
+        self.twelfths_ms(WAIT_TWELFTHS)
     }
 
-    const fn part_ms(&self, twelfths: u64) -> u64 {
+    const fn twelfths_ms(&self, twelfths: u64) -> u64 {
         self.age_max_us / 1_000 * twelfths / 12
     }
 
-    /// Returns whether there is something that a node lacks which has read the store up to `after`.
+    /// Returns whether the log goes beyond `after`.
     pub fn is_newer_than(&self, after: Position) -> bool {
         self.at.supersedes(after)
     }
 
-    /// Returns how long ago the store was known to stand at the position of the log, in milliseconds.
+    /// Returns how long ago the store was known to be at the log's position.
     pub fn age_ms(&self, now_us: u64) -> u32 {
         (self.age_us(now_us) / 1_000).min(u64::from(u32::MAX)) as u32
     }
@@ -232,17 +232,17 @@
         self.confirmed_us.map_or(u64::MAX, |confirmed_us| now_us.saturating_sub(confirmed_us))
     }
 
-    /// Returns what a node lacks that has read the store up to `after`: everything, where that is a position that
-    /// this log cannot go on from.
+    /// Returns the update for a node that has read the store up to `after`: the later changes, or all items if the log
+    /// does not hold every change after that position.
     pub fn since(&self, after: Position) -> StoreNews {
-        let goes_on = match after.relation_to(self.at) {
+        let is_continuous = match after.relation_to(self.at) {
             Relation::Before | Relation::Same => !self.complete_after.supersedes(after),
             Relation::Behind | Relation::EarlierEra | Relation::LaterEra => false,
         };
-        let changes = match goes_on {
+        let changes = match is_continuous {
             true => self.changes.iter().filter(|change| change.position().supersedes(after)).cloned().collect(),
             false => self.items.values().cloned().map(Change::Put).collect(),
         };
-        StoreNews { whole: !goes_on, changes, at: self.at }
+        StoreNews { whole: !is_continuous, changes, at: self.at }
     }
 }
--- a/valetrack/src/member/role.rs
+++ b/valetrack/src/member/role.rs
@@ -1,8 +1,8 @@
-//! Pure decisions on which nodes follow the store, and for whom.
+//! Selection of the nodes that follow the store on behalf of the others.
 //!
-//! Each call to the store is paid for, so their number goes by changes and not by the fleet: one node, the reader,
-//! follows the store; the relays of the failure domains follow the reader and keep the entries of their followers; all
-//! other nodes call the store only until they have found a relay.
+//! Each call to the store costs money, so the number of calls depends on the number of changes and not on the size of
+//! the fleet: one node, the reader, follows the store; the relays of the failure domains follow the reader and keep the
+//! entries of their followers; all other nodes call the store only until they have found a relay.
 
 use std::sync::Arc;
 
@@ -10,37 +10,37 @@
 use super::state::Members;
 use crate::rendezvous::weight;
 
-/// Nodes that follow one relay; a failure domain with more of them has several relays.
+/// Target number of nodes per relay; a larger failure domain has several relays.
 pub const GROUP_MAX: usize = 64;
-/// Chance that a node which finds no relay becomes one in the first round, as a divisor: of a large fleet that starts at
-/// once about as many do as are needed. It doubles with each round, so that a small fleet does not wait for long.
-const FIRST_ROUND: u32 = 32;
+/// One in this many nodes that find no relay becomes one in the first round. In a large fleet that starts at once,
+/// about as many do as are needed. The chance doubles with each round, so that a small fleet does not wait for long.
+const FIRST_ROUND_ONE_IN: u32 = 32;
 
-/// Chance that a node begins as a relay whatever it finds, as a divisor.
-const BEGIN_CHANCE: usize = GROUP_MAX / 2;
-/// Nodes of a fleet that starts which are to ask each relay in the first round are about one of so many.
-const JOIN_CHANCE: usize = 32;
-/// Relays that a failure domain may have for each one that it needs: drawing them by chance is uneven, and each that gives
-/// up sends its followers elsewhere.
+/// One in this many nodes starts as a relay, whether or not it finds one.
+const START_ONE_IN: usize = GROUP_MAX / 2;
+/// One in this many waiting nodes of a starting fleet sends its first request to a given relay in the first round.
+const JOIN_ONE_IN: usize = 32;
+/// Number of relays that a failure domain may have for each one that it needs: a random draw is uneven, and the followers
+/// of a relay that resigns have to find another one.
 const SURPLUS_FACTOR: usize = 2;
 
-/// Why a node is passed over.
+/// Reason why a relay is avoided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Avoided {
+pub enum AvoidReason {
     /// It did not reply.
     Silent,
     /// It replied that it is behind the store.
     Behind,
-    /// It replied that as many nodes follow it as it bears.
+    /// It replied that it accepts no more followers.
     Full,
 }
 
-/// Returns the node that `me` follows in place of the store; none where it is to follow the store itself, or knows nobody
-/// to follow. `avoided` tells which nodes are passed over.
+/// Returns the node that `me` follows instead of the store; none if it must follow the store itself or has no record of a
+/// node to follow. `avoided` returns why a node is avoided, if it is.
 pub fn relay_of<'a>(
     members: &'a Members,
     me: &Member,
-    avoided: impl Fn(&str) -> Option<Avoided>,
+    avoided: impl Fn(&str) -> Option<AvoidReason>,
 ) -> Option<&'a Member> {
     let serving: Vec<&Member> =
         members.iter().filter(|member| member.phase == Phase::Serving && member.vm != me.vm).collect();
@@ -53,39 +53,48 @@
     let drawn = |relay: &&&Member| weight(&me.vm, &relay.vm);
     let near = relays.iter().filter(usable).filter(own).max_by_key(drawn);
     let found = near.or_else(|| relays.iter().filter(usable).max_by_key(drawn));
-    // One that is behind may catch up, and shows that the store does not answer it; another one would not fare better.
-    let behind = |relay: &&&Member| avoided(&relay.vm) == Some(Avoided::Behind);
+    // A relay that is behind may catch up. It is behind because the store does not answer it, which would affect another
+    // relay as well.
+    let behind = |relay: &&&Member| avoided(&relay.vm) == Some(AvoidReason::Behind);
     let found = found.or_else(|| relays.iter().filter(behind).max_by_key(drawn));
-    if found.is_none() && relays.iter().any(|relay| avoided(&relay.vm) == Some(Avoided::Full)) {
-        // More relays are about to begin.
+    if found.is_none() && relays.iter().any(|relay| avoided(&relay.vm) == Some(AvoidReason::Full)) {
+        // More nodes are about to become relays.
         return None;
     }
-    found.copied().or_else(|| stand_in(&serving, me, avoided))
+    found.copied().or_else(|| relay_successor(&serving, me, avoided))
 }
 
-/// Returns the relay that the relay `me` follows, the first by rank. Where that is passed over, the store itself serves
-/// better than a search among the others, whose news are about to be as old.
-fn reader_of<'a>(relays: &[&'a Member], me: &Member, avoided: impl Fn(&str) -> Option<Avoided>) -> Option<&'a Member> {
+/// Returns the relay that the relay `me` follows, the first by rank. If that one is avoided, `me` follows the store
+/// instead of another relay, whose log is about to be equally old.
+fn reader_of<'a>(
+    relays: &[&'a Member],
+    me: &Member,
+    avoided: impl Fn(&str) -> Option<AvoidReason>,
+) -> Option<&'a Member> {
     let first = relays.iter().min_by_key(|relay| rank(&relay.vm))?;
     (rank(&first.vm) < rank(&me.vm) && avoided(&first.vm).is_none()).then_some(*first)
 }
 
-/// Returns the node that is to become a relay where none is left; none where that is `me`.
-fn stand_in<'a>(serving: &[&'a Member], me: &Member, avoided: impl Fn(&str) -> Option<Avoided>) -> Option<&'a Member> {
+/// Returns the node that becomes a relay if none is left; none if that is `me`.
+fn relay_successor<'a>(
+    serving: &[&'a Member],
+    me: &Member,
+    avoided: impl Fn(&str) -> Option<AvoidReason>,
+) -> Option<&'a Member> {
     let near = serving.iter().filter(|member| member.domain == me.domain && avoided(&member.vm).is_none());
     let first = near.min_by_key(|member| rank(&member.vm)).copied()?;
     let is_me = me.phase == Phase::Serving && rank(&me.vm) < rank(&first.vm);
     (!is_me).then_some(first)
 }
 
-/// Returns whether `me` is to become a relay, since its failure domain has too few.
-pub fn is_needed(members: &Members, me: &Member, avoided: impl Fn(&str) -> Option<Avoided>) -> bool {
+/// Returns whether `me` must become a relay, since its failure domain has too few.
+pub fn is_needed(members: &Members, me: &Member, avoided: impl Fn(&str) -> Option<AvoidReason>) -> bool {
     if me.is_relay || me.phase != Phase::Serving {
         return false;
     }
     let near = |member: &&Member| member.domain == me.domain && member.phase == Phase::Serving;
     let known: Vec<&Member> =
-        members.iter().filter(near).filter(|member| avoided(&member.vm) != Some(Avoided::Silent)).collect();
+        members.iter().filter(near).filter(|member| avoided(&member.vm) != Some(AvoidReason::Silent)).collect();
     let relays = known.iter().filter(|member| member.is_relay).count();
     let lacking = relays_for(known.len()).saturating_sub(relays);
     let before = known.iter().filter(|member| !member.is_relay && rank(&member.vm) < rank(&me.vm)).count();
@@ -100,30 +109,30 @@
     me.is_relay && before >= relays_for(known.len()) * SURPLUS_FACTOR
 }
 
-/// Returns how many relays a failure domain of so many nodes needs.
+/// Returns how many relays a failure domain with this many nodes needs.
 fn relays_for(nodes: usize) -> usize {
     nodes.div_ceil(GROUP_MAX).max(1)
 }
 
 /// Draws whether a node that finds no relay in a round, counted from zero, becomes one itself.
-pub fn volunteers(round: u32, rng: &mut fastrand::Rng) -> bool {
-    let one_in = FIRST_ROUND.checked_shr(round).unwrap_or(0);
+pub fn is_candidate(round: u32, rng: &mut fastrand::Rng) -> bool {
+    let one_in = FIRST_ROUND_ONE_IN.checked_shr(round).unwrap_or(0);
     one_in <= 1 || rng.u32(..one_in) == 0
 }
 
-/// Draws whether a node begins as a relay whatever it finds: of a fleet that starts at once the first few are found by
-/// all others, and would have to bear them all.
-pub fn begins(rng: &mut fastrand::Rng) -> bool {
-    rng.usize(..BEGIN_CHANCE) == 0
+/// Draws whether a node starts as a relay even if it finds one: when a whole fleet starts at once, all nodes find the
+/// same first few relays, which could not serve them all.
+pub fn starts_as_relay(rng: &mut fastrand::Rng) -> bool {
+    rng.usize(..START_ONE_IN) == 0
 }
 
-/// Draws whether a node that has found so many relays asks one of them in a round, counted from zero.
-pub fn joins(round: u32, relays: usize, rng: &mut fastrand::Rng) -> bool {
+/// Draws whether a node that has found this many relays sends a request to one of them in a round, counted from zero.
+pub fn joins_relay(round: u32, relays: usize, rng: &mut fastrand::Rng) -> bool {
     let chances = relays.saturating_mul(1 << round.min(16));
-    rng.usize(..JOIN_CHANCE) < chances
+    rng.usize(..JOIN_ONE_IN) < chances
 }
 
-/// Orders nodes in the same way at all of them.
+/// Returns a rank that orders nodes in the same way at every node.
 fn rank(vm: &Arc<str>) -> u64 {
     weight("", vm)
 }
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -1,4 +1,4 @@
-//! The member thread: the VM list, exchanges with other nodes, and the spread of bundles.
+//! The member thread of the native platform: polls the VM list, gossips with other nodes, and distributes bundles.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -22,44 +22,44 @@
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::timeline::log as events;
 
-/// Nodes outside the own service that one exchange goes to.
+/// Number of nodes of other services that one round of exchanges includes.
 const OTHERS: usize = 2;
-/// Most VMs in one exchange; news of one's own service and of leaving VMs goes first.
+/// Maximum number of VMs in one exchange; VMs of the same service and leaving VMs come first.
 const EXCHANGE_MAX: usize = 48;
-/// An unchanged view is published again after this time, in microseconds.
+/// Time after which an unchanged view is published again.
 const PUBLISH_US: u64 = 200_000;
-/// Time limit of one exchange, in milliseconds.
+/// Time limit of one exchange.
 const EXCHANGE_MS: u64 = 400;
 
-/// What the member thread is joined to.
+/// Configuration and channels of the member thread.
 pub struct MemberParts {
-    /// This VM, as it starts.
+    /// This VM at its start.
     pub me: Member,
-    /// Pause between two looks at the list.
+    /// Pause between two polls of the list.
     pub list_poll: Duration,
-    /// Pause between two exchanges.
+    /// Pause between two rounds of exchanges.
     pub gossip: Duration,
     /// The platform's list.
     pub list: Arc<dyn VmList>,
-    /// News of other threads.
+    /// Jobs from other threads.
     pub jobs: Receiver<MemberJob>,
-    /// Ring to the link thread.
+    /// Channel to the link thread.
     pub to_link: Sender<LinkJob>,
-    /// Where the view of VMs is published.
+    /// Publishes the view of VMs.
     pub members: watch::Sender<Arc<Members>>,
-    /// What this node says of its pages of claims.
+    /// This node's report on its pages of claims.
     pub claims: watch::Receiver<ClaimState>,
-    /// Turns true when this node takes work.
+    /// Becomes true when this node accepts calls.
     pub serving: watch::Receiver<bool>,
-    /// Turns true when this node leaves.
+    /// Becomes true when this node starts to leave.
     pub leaving: watch::Receiver<bool>,
-    /// Turns true when this node is about to exit.
+    /// Becomes true when this node is about to exit.
     pub exiting: watch::Receiver<bool>,
-    /// Told when the last exchange is over.
+    /// Set to true when the last exchange has ended.
     pub departed: watch::Sender<bool>,
-    /// Turns true when the thread is to end.
+    /// Becomes true when the thread must end.
     pub closing: watch::Receiver<bool>,
-    /// Told when the platform's list says that this VM leaves.
+    /// Notified when the platform's list marks this VM as leaving.
     pub listed_leaving: Arc<Notify>,
     /// Seed of random choices.
     pub seed: u64,
@@ -71,60 +71,61 @@
     members: RefCell<Members>,
     me: RefCell<Member>,
     rng: RefCell<fastrand::Rng>,
-    push: Notify,
+    /// Starts the next round of exchanges at once.
+    exchange_now: Notify,
     /// When the view was last published.
     published_us: Cell<u64>,
 }
 
-/// Serves membership until told to close; must run on a local task set.
+/// Runs membership until the thread must end; must run on a local task set.
 pub async fn run(parts: MemberParts, bundler: Bundler) {
     let rng = fastrand::Rng::with_seed(parts.seed);
     let shell = Rc::new(Shell {
         members: RefCell::new(Members::default()),
         me: RefCell::new(parts.me.clone()),
         rng: RefCell::new(rng),
-        push: Notify::new(),
+        exchange_now: Notify::new(),
         published_us: Cell::new(0),
         bundler: Rc::new(bundler),
         parts,
     });
     shell.merge(std::slice::from_ref(&shell.parts.me));
-    let mut duties = Duties::default();
-    duties.spawn(shell.clone().poll_list());
-    duties.spawn(shell.clone().gossip());
-    duties.spawn(shell.clone().follow_phase());
-    duties.spawn(shell.clone().push_bundles());
-    duties.spawn(shell.clone().follow_evacuations());
-    duties.spawn(shell.clone().follow_claims());
-    duties.spawn(shell.bundler.clone().follow_store());
+    let mut tasks = Duties::default();
+    tasks.spawn(shell.clone().poll_list());
+    tasks.spawn(shell.clone().gossip());
+    tasks.spawn(shell.clone().follow_phase());
+    tasks.spawn(shell.clone().announce_bundles());
+    tasks.spawn(shell.clone().follow_evacuations());
+    tasks.spawn(shell.clone().follow_claims());
+    tasks.spawn(shell.bundler.clone().follow_store());
     let mut closing = shell.parts.closing.clone();
-    while let Some(job) = duties.next_job(&shell.parts.jobs, &mut closing).await {
-        shell.clone().take(job);
+    while let Some(job) = tasks.next_job(&shell.parts.jobs, &mut closing).await {
+        shell.clone().handle(job);
     }
-    duties.shutdown().await;
+    tasks.shutdown().await;
 }
 
 impl Shell {
-    fn take(self: Rc<Self>, job: MemberJob) {
+    fn handle(self: Rc<Self>, job: MemberJob) {
         match job {
             MemberJob::Heard { members, evacuation, bundle, claims, reply } => {
-                self.evacuation_heard(&evacuation);
+                self.on_evacuation_received(&evacuation);
                 self.members.borrow_mut().claims_mut().note_asking(claims, now_us());
                 if let Some(first) = members.first().cloned() {
-                    self.hear(&first, bundle);
+                    self.record_contact(&first, bundle);
                 }
                 self.merge(&members);
                 if let Some(reply) = reply {
-                    // Whoever asked may have gone away meanwhile.
-                    let _ = reply.send(Known { members: self.digest(), claims: self.claim_news() });
+                    // The receiver may have been dropped.
+                    let _ = reply.send(Known { members: self.digest(), claims: self.claim_report() });
                 }
             }
-            MemberJob::Bundle { number, from } => self.bundle_heard(number, from),
+            MemberJob::Bundle { number, from } => self.on_bundle_announced(number, from),
             MemberJob::Evacuation { from } => {
                 tokio::task::spawn_local(self.exchange(from));
             }
             MemberJob::Follow { reply, .. } => {
-                // The store is not read here; whoever asked may have gone away meanwhile.
+                // This platform's member thread does not read the store. The receiver may have been dropped.
                 let _ = reply.send(FollowerNews::Behind);
             }
             MemberJob::Behind { peer } => {
@@ -133,43 +134,44 @@
         }
     }
 
-    /// Takes what another node or the store tells of evacuations, and passes on what is new.
-    fn evacuation_heard(&self, news: &Evacuation) {
-        if !self.members.borrow_mut().evacuate(news) {
+    /// Merges a state of evacuations received from another node or the store, and forwards it if it is newer.
+    fn on_evacuation_received(&self, received: &Evacuation) {
+        if !self.members.borrow_mut().merge_evacuation(received) {
             return;
         }
-        log::info!("event=member.evacuation number={} domains={}", news.number, news.domain_list());
+        log::info!("event=member.evacuation number={} domains={}", received.number, received.domain_list());
         self.parts.members.send_replace(Arc::new(self.members.borrow().clone()));
-        self.push.notify_one();
+        self.exchange_now.notify_one();
     }
 
-    /// Follows the evacuations that stand in the store.
+    /// Merges each change of the evacuations in the store.
     async fn follow_evacuations(self: Rc<Self>) {
         let mut evacuation = self.bundler.evacuation();
         loop {
-            let news = evacuation.borrow_and_update().clone();
-            self.evacuation_heard(&news);
+            let stored = evacuation.borrow_and_update().clone();
+            self.on_evacuation_received(&stored);
             if evacuation.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Notes that a node itself was heard, and what bundle it has.
-    fn hear(self: &Rc<Self>, member: &Member, bundle: u64) {
+    /// Records a message from a node itself, and the number of the bundle in force there.
+    fn record_contact(self: &Rc<Self>, member: &Member, bundle: u64) {
         self.members.borrow_mut().heard(&member.vm, now_us());
         let from = Target { vm: member.vm.clone(), addr: member.link_addr };
-        self.bundle_heard(bundle, from);
+        self.on_bundle_announced(bundle, from);
     }
 
-    fn bundle_heard(self: &Rc<Self>, number: u64, from: Target) {
+    /// Fetches a bundle from another node if it is later than the one in force here.
+    fn on_bundle_announced(self: &Rc<Self>, number: u64, from: Target) {
         if !self.bundler.adopter.wants(number) {
             return;
         }
         let shell = self.clone();
         tokio::task::spawn_local(async move {
-            let question = Question { ask: Ask::Bundle, body: Bytes::new() };
-            if let LinkResult::Reply(answered) = shell.ask(from, question).await
+            let request = Question { ask: Ask::Bundle, body: Bytes::new() };
+            if let LinkResult::Reply(answered) = shell.request(from, request).await
                 && let Reply::Bundle { number, version } = answered.head.reply
             {
                 shell.bundler.adopter.take_from_peer(number, &version, &answered.body);
@@ -177,15 +179,16 @@
         });
     }
 
-    async fn ask(&self, target: Target, question: Question) -> LinkResult {
-        peer::ask(&self.parts.to_link, target, question, Duration::from_millis(EXCHANGE_MS)).await
+    async fn request(&self, target: Target, request: Question) -> LinkResult {
+        peer::ask(&self.parts.to_link, target, request, Duration::from_millis(EXCHANGE_MS)).await
     }
 
-    fn merge(&self, news: &[Member]) {
+    /// Merges received states of VMs, and publishes the view if it has changed or is due.
+    fn merge(&self, received: &[Member]) {
         let mut members = self.members.borrow_mut();
         let mut changed = false;
-        for member in news {
-            // Nobody else speaks for this life of this VM.
+        for member in received {
+            // Only this node decides the phase of its own incarnation.
             if member.vm == self.parts.me.vm && member.incarnation <= self.parts.me.incarnation {
                 changed |= members.merge(&self.me.borrow());
                 continue;
@@ -196,8 +199,8 @@
                 log::info!("event=member.{} peer={vm} incarnation={incarnation}", phase.as_str());
             }
         }
-        // Times of hearing are part of what claims read, so the view goes out now and then also
-        // when nothing else has changed; a copy of a large view is dear.
+        // Claims read the times of last contact from the view, so it is also published without other changes, but only
+        // at intervals, since copying a large view is expensive.
         let now = now_us();
         changed |= self.parts.claims.borrow().is_asking;
         if changed || now >= self.published_us.get() + PUBLISH_US {
@@ -206,19 +209,20 @@
         }
     }
 
-    fn claim_news(&self) -> ClaimNews {
+    fn claim_report(&self) -> ClaimNews {
         self.parts.claims.borrow().news(now_us())
     }
 
-    /// Asks the others at once where the pages of claims of this node have changed hands, or may lack keys.
+    /// Starts a round of exchanges when the state of this node's pages of claims changes: when a page has moved here or
+    /// may lack keys.
     async fn follow_claims(self: Rc<Self>) {
         let mut claims = self.parts.claims.clone();
         while claims.changed().await.is_ok() {
-            self.push.notify_one();
+            self.exchange_now.notify_one();
         }
     }
 
-    /// Returns what goes out in an exchange, this VM first.
+    /// Returns the states of VMs that are sent in an exchange, this VM first.
     fn digest(&self) -> Vec<Member> {
         let members = self.members.borrow();
         let me = self.me.borrow().clone();
@@ -235,10 +239,10 @@
         loop {
             match self.parts.list.read().await {
                 Ok(rows) => {
-                    // This node hears itself, whatever the list says.
+                    // This node is alive even if the list lacks it.
                     self.members.borrow_mut().heard(&self.parts.me.vm, now_us());
-                    let moved = self.members.borrow_mut().take_list(&rows, now_us());
-                    for member in &moved {
+                    let advanced = self.members.borrow_mut().apply_list(&rows, now_us());
+                    for member in &advanced {
                         log::info!("event=member.{} peer={} by=list", member.phase.as_str(), member.vm);
                     }
                     let me = &self.parts.me.vm;
@@ -259,12 +263,12 @@
             for target in self.partners(OTHERS) {
                 tokio::task::spawn_local(self.clone().exchange(target));
             }
-            // A change goes out at once; the pause only bounds the time between two rounds.
-            let _ = timeout(self.parts.gossip, self.push.notified()).await;
+            // A change is sent at once; the pause only bounds the time between two rounds.
+            let _ = timeout(self.parts.gossip, self.exchange_now.notified()).await;
         }
     }
 
-    /// Returns the nodes of the own service and some others.
+    /// Returns the nodes of this node's service and some other nodes, drawn at random.
     fn partners(&self, others: usize) -> Vec<Target> {
         let members = self.members.borrow();
         let me = self.me.borrow();
@@ -284,71 +288,73 @@
         own
     }
 
+    /// Exchanges states with another node.
     async fn exchange(self: Rc<Self>, target: Target) {
         let bundle = self.bundler.adopter.number();
         let evacuation = self.members.borrow().evacuation().clone();
-        let ask = Ask::Gossip { members: self.digest(), evacuation, bundle, claims: self.claim_news() };
-        let question = Question { ask, body: Bytes::new() };
+        let ask = Ask::Gossip { members: self.digest(), evacuation, bundle, claims: self.claim_report() };
+        let request = Question { ask, body: Bytes::new() };
         let asked_us = now_us();
-        let LinkResult::Reply(answered) = self.ask(target, question).await else {
+        let LinkResult::Reply(answered) = self.request(target, request).await else {
             return;
         };
         events::observe(answered.head.riding.hlc);
         let Reply::Gossip { members, evacuation, claims } = answered.head.reply else {
             return;
         };
-        self.evacuation_heard(&evacuation);
+        self.on_evacuation_received(&evacuation);
         if let Some(first) = members.first().cloned() {
-            self.hear(&first, answered.head.riding.bundle);
-            let heard = PeerNews { incarnation: first.incarnation, asked_us, news: claims };
-            self.members.borrow_mut().claims_mut().reply(&first.vm, heard, now_us());
+            self.record_contact(&first, answered.head.riding.bundle);
+            let report = PeerNews { incarnation: first.incarnation, asked_us, news: claims };
+            self.members.borrow_mut().claims_mut().reply(&first.vm, report, now_us());
         }
         self.merge(&members);
     }
 
-    /// Passes a bundle on as soon as it is in force here.
-    async fn push_bundles(self: Rc<Self>) {
+    /// Starts a round of exchanges whenever another bundle is in force here.
+    async fn announce_bundles(self: Rc<Self>) {
         let mut in_force = self.bundler.adopter.subscribe();
         while in_force.changed().await.is_ok() {
-            self.push.notify_one();
+            self.exchange_now.notify_one();
         }
     }
 
+    /// Sets this node's phase as it starts to serve, leaves and exits, and notifies the other nodes.
     async fn follow_phase(self: Rc<Self>) {
         let mut serving = self.parts.serving.clone();
         let mut leaving = self.parts.leaving.clone();
         let mut exiting = self.parts.exiting.clone();
         tokio::select! {
-            Ok(_) = serving.wait_for(|serving| *serving) => self.move_on(Phase::Serving),
+            Ok(_) = serving.wait_for(|serving| *serving) => self.set_phase(Phase::Serving),
             Ok(_) = leaving.wait_for(|leaving| *leaving) => {}
         }
         if leaving.wait_for(|leaving| *leaving).await.is_err() {
             return;
         }
-        self.move_on(Phase::Leaving);
-        self.tell_everybody().await;
+        self.set_phase(Phase::Leaving);
+        self.notify_peers().await;
         if exiting.wait_for(|exiting| *exiting).await.is_err() {
             return;
         }
-        self.move_on(Phase::Gone);
-        self.tell_everybody().await;
+        self.set_phase(Phase::Gone);
+        self.notify_peers().await;
         self.parts.departed.send_replace(true);
     }
 
-    fn move_on(&self, phase: Phase) {
+    fn set_phase(&self, phase: Phase) {
         self.me.borrow_mut().phase = phase;
         log::info!("event=member.{} peer={}", phase.as_str(), self.parts.me.vm);
         let me = self.me.borrow().clone();
         self.merge(&[me]);
-        self.push.notify_one();
+        self.exchange_now.notify_one();
     }
 
-    /// Tells every node that is known, at once.
-    async fn tell_everybody(self: &Rc<Self>) {
-        let mut told = tokio::task::JoinSet::new();
+    /// Exchanges states with all nodes of this node's service and many others at once.
+    async fn notify_peers(self: &Rc<Self>) {
+        let mut exchanges = tokio::task::JoinSet::new();
         for target in self.partners(EXCHANGE_MAX) {
-            told.spawn_local(self.clone().exchange(target));
+            exchanges.spawn_local(self.clone().exchange(target));
         }
-        while told.join_next().await.is_some() {}
+        while exchanges.join_next().await.is_some() {}
     }
 }
--- a/valetrack/src/member/state.rs
+++ b/valetrack/src/member/state.rs
@@ -1,4 +1,4 @@
-//! Pure decisions of membership: a join of views, and how the lagging list is read.
+//! View of all VMs: merges what nodes report with the platform's list, which lags behind.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -8,51 +8,51 @@
 use crate::claim::PeerClaims;
 use crate::rollout::{RolloutView, ServerPart};
 
-/// A VM that has left the list and was not heard of for this long is gone, in microseconds.
+/// A VM that is no longer listed and has been unresponsive for this long is dead.
 pub const GONE_AFTER_US: u64 = 5_000_000;
 
-/// Every VM that a node has heard of.
+/// Every VM of which a node has a record.
 ///
-/// Merging is commutative, associative and idempotent, and a VM never goes back: neither to an
-/// earlier life nor to an earlier phase of one life.
+/// Merging is commutative, associative and idempotent, and a VM never returns to an earlier incarnation or to an earlier
+/// phase of the same incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Members {
     all: BTreeMap<Arc<str>, Member>,
     listed: BTreeMap<Arc<str>, ListedVm>,
-    heard_us: BTreeMap<Arc<str>, u64>,
+    last_contact_us: BTreeMap<Arc<str>, u64>,
     evacuation: Evacuation,
     rollouts: RolloutView,
-    /// VMs that the list has shown; one that it has not shown yet says nothing by its absence.
-    shown: BTreeSet<Arc<str>>,
-    /// What nodes have said of their pages of claims.
+    /// VMs that the list has shown at least once. The absence of any other VM from the list means nothing.
+    ever_listed: BTreeSet<Arc<str>>,
+    /// Reports of nodes on their pages of claims.
     claims: PeerClaims,
 }
 
 impl Members {
-    /// Takes news of one VM; returns whether it says more than was known.
-    pub fn merge(&mut self, news: &Member) -> bool {
-        let Some(known) = self.all.get_mut(&news.vm) else {
-            self.all.insert(news.vm.clone(), news.clone());
+    /// Merges a received state of one VM; returns whether it is newer than the recorded one.
+    pub fn merge(&mut self, received: &Member) -> bool {
+        let Some(known) = self.all.get_mut(&received.vm) else {
+            self.all.insert(received.vm.clone(), received.clone());
             return true;
         };
-        let newer = (news.incarnation, news.phase) > (known.incarnation, known.phase);
+        let newer = (received.incarnation, received.phase) > (known.incarnation, known.phase);
         if newer {
-            *known = news.clone();
+            *known = received.clone();
         }
         newer
     }
 
-    /// Sets what is known of one VM, whatever was known before.
+    /// Replaces the recorded state of one VM, even by an earlier one.
     pub fn set(&mut self, member: Member) {
         self.all.insert(member.vm.clone(), member);
     }
 
-    /// Returns what nodes have said of their pages of claims.
+    /// Returns the reports of nodes on their pages of claims.
     pub fn claims(&self) -> &PeerClaims {
         &self.claims
     }
 
-    /// Returns what nodes have said of their pages of claims, to add to it.
+    /// Returns the reports of nodes on their pages of claims, for update.
     pub fn claims_mut(&mut self) -> &mut PeerClaims {
         &mut self.claims
     }
@@ -62,65 +62,66 @@
         &self.evacuation
     }
 
-    /// Takes what is told of evacuated failure domains; returns whether it says more than was known.
-    pub fn evacuate(&mut self, news: &Evacuation) -> bool {
-        self.evacuation.merge(news)
+    /// Merges a received state of the evacuated failure domains; returns whether it is newer than the recorded one.
+    pub fn merge_evacuation(&mut self, received: &Evacuation) -> bool {
+        self.evacuation.merge(received)
     }
 
-    /// Sets what upstreams may get by the roll-outs in progress.
+    /// Sets the roll-outs in progress, which determine the traffic shares of upstreams.
     pub fn set_rollouts(&mut self, rollouts: RolloutView) {
         self.rollouts = rollouts;
     }
 
-    /// Notes that a VM's node itself was heard at `now_us`.
+    /// Records that a message from a VM's node was received at `now_us`.
     pub fn heard(&mut self, vm: &Arc<str>, now_us: u64) {
-        let heard_us = self.heard_us.entry(vm.clone()).or_insert(now_us);
-        *heard_us = (*heard_us).max(now_us);
+        let last_contact_us = self.last_contact_us.entry(vm.clone()).or_insert(now_us);
+        *last_contact_us = (*last_contact_us).max(now_us);
     }
 
-    /// Takes the platform's list as read at `now_us`; returns the VMs whose phase moved on.
+    /// Applies the platform's list as read at `now_us`; returns the VMs whose phase has advanced.
     ///
-    /// The list lags, so it only ever says where a node may be found, that a VM leaves, and, when
-    /// the node was shown before and has been silent as well, that it is gone.
-    pub fn take_list(&mut self, list: &[ListedVm], now_us: u64) -> Vec<Member> {
-        self.shown.extend(list.iter().map(|row| row.vm.clone()));
+    /// Since the list lags, it is used only for the addresses of nodes, to learn that a VM leaves, and to declare a VM
+    /// dead that was listed before and is unresponsive as well.
+    pub fn apply_list(&mut self, list: &[ListedVm], now_us: u64) -> Vec<Member> {
+        self.ever_listed.extend(list.iter().map(|row| row.vm.clone()));
         self.listed = list.iter().map(|row| (row.vm.clone(), row.clone())).collect();
-        let mut moved = Vec::new();
+        let mut advanced = Vec::new();
         for member in self.all.values_mut() {
-            let silent = self.heard_us.get(&member.vm).is_none_or(|&heard| now_us >= heard + GONE_AFTER_US);
+            let unresponsive =
+                self.last_contact_us.get(&member.vm).is_none_or(|&contact_us| now_us >= contact_us + GONE_AFTER_US);
             let row = self.listed.get(&member.vm);
             let phase = match row {
                 Some(row) if row.leaving && row.link_addr == member.link_addr => Phase::Leaving,
-                None if silent && self.shown.contains(&member.vm) => Phase::Gone,
+                None if unresponsive && self.ever_listed.contains(&member.vm) => Phase::Gone,
                 Some(_) | None => continue,
             };
             if phase > member.phase {
                 member.phase = phase;
-                moved.push(member.clone());
+                advanced.push(member.clone());
             }
         }
-        moved
+        advanced
     }
 
-    /// Returns what is known of one VM.
+    /// Returns the recorded state of one VM.
     pub fn get(&self, vm: &str) -> Option<&Member> {
         self.all.get(vm)
     }
 
-    /// Returns all that is known, in the order of the VMs' names.
+    /// Returns the recorded states of all VMs, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.all.values()
     }
 
-    /// Returns the VMs of a service that may get calls, listed or heard of, outside the failure domains
-    /// that are evacuated.
+    /// Returns the VMs of a service that may be sent calls: those recorded as serving and those that are only listed,
+    /// outside the evacuated failure domains.
     ///
-    /// A VM that is only listed is taken at its word until its node says more.
+    /// A VM that is only listed counts as serving until its node has reported its phase.
     pub fn servers_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = Candidate> + 'a {
-        let heard: Vec<&Member> =
+        let serving: Vec<&Member> =
             self.all.values().filter(|member| &*member.service == service && member.phase == Phase::Serving).collect();
-        let parts = self.rollouts.parts(service, &heard);
-        let heard = heard.into_iter().enumerate().map(move |(at, member)| {
+        let parts = self.rollouts.parts(service, &serving);
+        let serving = serving.into_iter().enumerate().map(move |(at, member)| {
             let part = parts.as_ref().map_or(ServerPart::Usual, |parts| parts[at]);
             Candidate { part, ..Candidate::from(member) }
         });
@@ -129,10 +130,10 @@
             .values()
             .filter(move |row| &*row.service == service && !row.leaving && !self.all.contains_key(&row.vm))
             .map(Candidate::from);
-        heard.chain(listed).filter(|candidate| !self.evacuation.covers(&candidate.domain))
+        serving.chain(listed).filter(|candidate| !self.evacuation.covers(&candidate.domain))
     }
 
-    /// Returns how many VMs that take work each service has.
+    /// Returns the number of serving VMs of each service.
     pub fn vms_by_service(&self) -> HashMap<Arc<str>, u32> {
         let mut vms = HashMap::new();
         for member in self.all.values().filter(|member| member.phase == Phase::Serving) {
@@ -141,18 +142,17 @@
         vms
     }
 
-    /// Returns how long a VM's node has been silent at `now_us`, in microseconds; none when it
-    /// was never heard.
+    /// Returns how long ago, at `now_us`, the last message from a VM's node was received; none if there was none.
     pub fn silent_us(&self, vm: &str, now_us: u64) -> Option<u64> {
-        self.heard_us.get(vm).map(|&heard| now_us.saturating_sub(heard))
+        self.last_contact_us.get(vm).map(|&contact_us| now_us.saturating_sub(contact_us))
     }
 
-    /// Returns the listed VMs of which no node was heard yet.
+    /// Returns the listed VMs whose nodes have no record here yet.
     pub fn unheard(&self) -> impl Iterator<Item = &ListedVm> {
         self.listed.values().filter(|row| !self.all.contains_key(&row.vm))
     }
 
-    /// Returns whether a life of a VM is known to be over.
+    /// Returns whether an incarnation of a VM is known to have ended.
     pub fn is_over(&self, vm: &str, incarnation: u64) -> bool {
         self.all.get(vm).is_some_and(|member| {
             member.incarnation > incarnation || (member.incarnation == incarnation && member.phase == Phase::Gone)
--- a/valetrack/src/member/tests.rs
+++ b/valetrack/src/member/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of membership: views, the own entry, and the entries of others.
+//! Tests of membership: views, a node's own entry, and the entries of other nodes.
 
 mod directory;
 mod entry;
@@ -13,7 +13,7 @@
 
 use crate::store::{Era, Position};
 
-/// Returns the position at a revision of a store that has never come back older.
+/// Returns the position at a revision of a store that was never rolled back.
 fn at(revision: u64) -> Position {
     Position::new(Era::default(), revision)
 }
--- a/valetrack/src/member/tests/directory.rs
+++ b/valetrack/src/member/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Entries of other nodes: forward only, and missing ones are believed in for a while.
+//! Entries of other nodes never return to an earlier state, and missing entries are kept for a while.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     Item { key: entry_key(vm), value, position: at(revision), lease: None }
 }
 
-fn gone(vm: &str, revision: u64) -> Change {
+fn missing(vm: &str, revision: u64) -> Change {
     Change::Gone { key: entry_key(vm), position: at(revision) }
 }
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_older_revision_never_comes_back() {
+fn entry_is_not_replaced_by_an_older_revision() {
     let mut directory = Directory::default();
     assert!(directory.apply(&Change::Put(item("a", Phase::Leaving, 9)), 0));
     assert!(!directory.apply(&Change::Put(item("a", Phase::Serving, 8)), 0));
@@ -44,36 +44,36 @@
 }
 
 #[test]
-fn a_missing_entry_is_believed_in_until_its_time_is_over() {
+fn missing_entry_is_kept_until_it_expires() {
     let mut directory = Directory::default();
     directory.replace(&[item("a", Phase::Serving, 1), item("b", Phase::Serving, 2)], 0);
-    directory.apply(&gone("a", 3), 1_000);
+    directory.apply(&missing("a", 3), 1_000);
     assert_eq!(directory.expire(1_000 + MISSING_US - 1), Vec::<Arc<str>>::new());
     assert_eq!(directory.expire(1_000 + MISSING_US), [Arc::from("a")]);
     assert_eq!(phases(&directory), [("b".to_owned(), Phase::Serving)]);
 }
 
 #[test]
-fn an_entry_that_comes_back_in_time_was_never_missing() {
+fn entry_written_again_before_expiry_does_not_expire() {
     let mut directory = Directory::default();
     directory.replace(&[item("a", Phase::Serving, 1)], 0);
-    directory.apply(&gone("a", 2), 0);
+    directory.apply(&missing("a", 2), 0);
     directory.apply(&Change::Put(item("a", Phase::Serving, 3)), 1_000_000);
     assert_eq!(directory.expire(10 * MISSING_US), Vec::<Arc<str>>::new());
 }
 
 #[test]
-fn the_time_of_missing_entries_starts_when_the_store_is_back() {
+fn missing_entries_restart_their_timers_when_store_is_reachable() {
     let mut directory = Directory::default();
     directory.replace(&[item("a", Phase::Serving, 1)], 0);
     directory.replace(&[], 1_000);
-    directory.store_is_back(9_000_000);
+    directory.on_store_reachable(9_000_000);
     assert_eq!(directory.next_expiry_us(), Some(9_000_000 + MISSING_US));
     assert_eq!(directory.expire(9_000_000 + MISSING_US - 1), Vec::<Arc<str>>::new());
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_changes_nothing() {
+fn unreadable_entry_changes_nothing() {
     let mut directory = Directory::default();
     directory.replace(&[item("a", Phase::Serving, 1)], 0);
     let damaged = Item { value: b"{".to_vec(), ..item("a", Phase::Leaving, 2) };
@@ -84,20 +84,20 @@
 }
 
 #[test]
-fn a_hint_never_goes_before_what_the_store_has_shown() {
+fn peer_report_does_not_replace_a_stored_entry() {
     let mut directory = Directory::default();
     directory.replace(&[item("a", Phase::Leaving, 1)], 0);
-    assert!(!directory.hint(&member("a", Phase::Serving), 0));
-    assert!(directory.hint(&member("b", Phase::Serving), 0));
-    assert_eq!(directory.expire(MISSING_US), [Arc::from("b")], "the store does not know it");
+    assert!(!directory.learn_from_peer(&member("a", Phase::Serving), 0));
+    assert!(directory.learn_from_peer(&member("b", Phase::Serving), 0));
+    assert_eq!(directory.expire(MISSING_US), [Arc::from("b")], "the store has no entry for it");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The order in which changes come does not matter, since revisions order them.
+    /// Revisions decide which change is the newest, whatever order the changes are applied in.
     #[test]
-    fn changes_in_any_order_show_the_newest(seed: u64, count in 1..12u64) {
+    fn directory_holds_newest_of_changes_in_any_order(seed: u64, count in 1..12u64) {
         let phases = [Phase::Joining, Phase::Serving, Phase::Leaving];
         let mut changes: Vec<Item> = (1..=count).map(|n| item("a", phases[n as usize % 3], n)).collect();
         fastrand::Rng::with_seed(seed).shuffle(&mut changes);
--- a/valetrack/src/member/tests/entry.rs
+++ b/valetrack/src/member/tests/entry.rs
@@ -1,4 +1,4 @@
-//! The own entry stays in the store through lost leases, lost answers and outages.
+//! A node's own entry stays stored through lost leases, lost answers and outages.
 
 use proptest::prelude::*;
 use test_case::test_case;
@@ -13,8 +13,8 @@
     fastrand::Rng::with_seed(3)
 }
 
-/// Makes a keeper whose entry stands in the store since the moment zero.
-fn kept() -> EntryKeeper {
+/// Returns a keeper whose entry was stored at time zero.
+fn keeper_with_stored_entry() -> EntryKeeper {
     let mut keeper = EntryKeeper::default();
     keeper.change();
     keeper.granted(LEASE, 0);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_entry_needs_a_lease_and_is_then_written() {
+fn new_entry_is_written_after_its_lease_is_granted() {
     let mut keeper = EntryKeeper::default();
     keeper.change();
     assert_eq!(keeper.next(0), EntryStep::Grant);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_entry_of_an_earlier_life_is_replaced_at_its_revision() {
+fn entry_of_earlier_incarnation_is_replaced_at_its_revision() {
     let mut keeper = EntryKeeper::default();
     keeper.change();
     keeper.granted(LEASE, 0);
@@ -44,24 +44,28 @@
 }
 
 #[test]
-fn an_entry_that_was_taken_away_is_written_at_once() {
-    let mut keeper = kept();
+fn removed_entry_is_rewritten_at_once() {
+    let mut keeper = keeper_with_stored_entry();
     keeper.missing(at(6));
     assert_eq!(keeper.next(10), EntryStep::Write { lease: 7, expected: None });
 }
 
 #[test]
-fn an_entry_whose_lease_is_over_gets_another_at_once() {
-    let mut keeper = kept();
+fn entry_with_expired_lease_requests_another_at_once() {
+    let mut keeper = keeper_with_stored_entry();
     keeper.lease_over();
     assert_eq!(keeper.next(10), EntryStep::Grant);
     keeper.granted(Lease { id: 8, ..LEASE }, 10);
-    assert_eq!(keeper.next(10), EntryStep::Write { lease: 8, expected: None }, "what the old lease held is gone");
+    assert_eq!(
+        keeper.next(10),
+        EntryStep::Write { lease: 8, expected: None },
+        "the entry was removed with the old lease"
+    );
 }
 
 #[test]
-fn a_late_word_on_an_older_revision_changes_nothing() {
-    let mut keeper = kept();
+fn late_read_of_older_revision_changes_nothing() {
+    let mut keeper = keeper_with_stored_entry();
     keeper.seen(SeenEntry { position: at(4), lease: Some(7) });
     keeper.change();
     assert_eq!(keeper.next(0), EntryStep::Write { lease: 7, expected: Some(at(5)) });
@@ -70,62 +74,61 @@
 #[test_case(1, 200_000; "the first failure")]
 #[test_case(2, 400_000; "the second")]
 #[test_case(30, 1_000_000; "many")]
-fn pauses_after_failures_grow_up_to_a_second(failures: u32, most_us: u64) {
-    let mut keeper = kept();
+fn backoff_grows_up_to_one_second(failures: u32, most_us: u64) {
+    let mut keeper = keeper_with_stored_entry();
     let mut rng = rng();
     for _ in 0..failures {
         keeper.failed(0, &mut rng);
     }
     let EntryStep::Wait { until_us } = keeper.next(0) else {
-        panic!("it waits");
+        panic!("expected a wait");
     };
     assert!((most_us / 2..=most_us).contains(&until_us), "{until_us}");
 }
 
 #[test]
-fn no_pause_is_waited_out_once_the_store_answers() {
-    let mut keeper = kept();
+fn backoff_ends_when_store_is_reachable() {
+    let mut keeper = keeper_with_stored_entry();
     keeper.failed(0, &mut rng());
     keeper.lease_over();
     keeper.failed(0, &mut rng());
-    keeper.store_is_back();
+    keeper.on_store_reachable();
     assert_eq!(keeper.next(0), EntryStep::Grant);
 }
 
-/// Lets a store turn every call away for `out_us`, and returns what the calls cost, in tenths of one,
-/// and how many were made.
-fn turned_away(keeper: &mut EntryKeeper, out_us: u64) -> (u64, u64) {
+/// Lets every call fail for `out_us`; returns the cost of the calls, in tenths of a call, and their number.
+fn fail_calls(keeper: &mut EntryKeeper, out_us: u64) -> (u64, u64) {
     let mut rng = rng();
-    let (mut now_us, mut price_tenths, mut calls) = (0, 0, 0);
+    let (mut now_us, mut cost_tenths, mut calls) = (0, 0, 0);
     while now_us < out_us {
         match keeper.next(now_us) {
             EntryStep::Wait { until_us } => {
                 now_us = until_us;
                 continue;
             }
-            EntryStep::Ask | EntryStep::Renew { .. } => price_tenths += 1,
-            EntryStep::Grant | EntryStep::Write { .. } => price_tenths += 10,
+            EntryStep::Ask | EntryStep::Renew { .. } => cost_tenths += 1,
+            EntryStep::Grant | EntryStep::Write { .. } => cost_tenths += 10,
         }
         calls += 1;
         keeper.failed(now_us, &mut rng);
     }
-    (price_tenths, calls)
+    (cost_tenths, calls)
 }
 
 #[test]
-fn a_store_that_is_out_of_reach_is_asked_by_the_cheapest_call() {
-    let mut keeper = kept();
+fn unreachable_store_is_checked_by_the_cheapest_call() {
+    let mut keeper = keeper_with_stored_entry();
     keeper.lease_over();
-    let (price_tenths, calls) = turned_away(&mut keeper, 9_000_000);
-    assert!(calls >= 9, "it is still asked about once a second: {calls}");
-    assert!(price_tenths <= 25, "{price_tenths} tenths of a call for {calls}");
+    let (cost_tenths, calls) = fail_calls(&mut keeper, 9_000_000);
+    assert!(calls >= 9, "the store is still checked about once a second: {calls}");
+    assert!(cost_tenths <= 25, "{cost_tenths} tenths of a call for {calls} calls");
     keeper.lease_over();
-    assert_eq!(keeper.next(9_000_000), EntryStep::Grant, "once it answers, the entry comes back");
+    assert_eq!(keeper.next(9_000_000), EntryStep::Grant, "once the store answers, the entry is written again");
 }
 
 #[test]
-fn pauses_grow_while_writes_fail_though_renewals_are_answered() {
-    let mut keeper = kept();
+fn backoff_grows_while_writes_fail_and_renewals_succeed() {
+    let mut keeper = keeper_with_stored_entry();
     let mut rng = rng();
     keeper.change();
     let (mut now_us, mut writes) = (0, 0);
@@ -138,7 +141,7 @@
                 writes += 1;
                 keeper.failed(now_us, &mut rng);
             }
-            EntryStep::Grant => panic!("the lease holds"),
+            EntryStep::Grant => panic!("the lease has not expired"),
         }
     }
     assert!(writes <= 18, "{writes} writes in ten seconds");
@@ -147,11 +150,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever failed before, two seconds of a store that answers bring the entry back.
+    /// Whatever failed before, the entry is stored again within two seconds once the store answers.
     #[test]
-    fn an_entry_is_back_within_two_seconds(faults in prop::collection::vec(0..5u8, 0..40), seed: u64) {
+    fn entry_is_restored_within_two_seconds_after_faults(faults in prop::collection::vec(0..5u8, 0..40), seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut keeper = kept();
+        let mut keeper = keeper_with_stored_entry();
         let mut now_us = 0;
         for fault in faults {
             now_us += 100_000;
@@ -163,7 +166,7 @@
                 _ => keeper.change(),
             }
         }
-        let back_us = now_us;
+        let answers_from_us = now_us;
         loop {
             match keeper.next(now_us) {
                 EntryStep::Grant => keeper.granted(LEASE, now_us),
@@ -174,12 +177,12 @@
                 EntryStep::Ask => keeper.answered(),
                 EntryStep::Renew { .. } => keeper.renewed(LEASE.era, now_us),
                 EntryStep::Wait { until_us } => {
-                    // An entry that is there needs nothing but its renewals.
+                    // A stored entry needs only renewals.
                     if until_us >= now_us + 1_000_000 { break; }
                     now_us = until_us;
                 }
             }
         }
-        prop_assert!(now_us <= back_us + 2_000_000);
+        prop_assert!(now_us <= answers_from_us + 2_000_000);
     }
 }
