--- a/valetrack/src/member/tests/evacuation.rs
+++ b/valetrack/src/member/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated failure domains, as nodes tell each other of them.
+//! Evacuated failure domains, as nodes exchange them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -31,21 +31,21 @@
 }
 
 #[test]
-fn servers_of_an_evacuated_domain_are_no_candidates_until_it_returns() {
+fn servers_of_evacuated_domain_are_excluded_until_evacuation_ends() {
     let mut members = Members::default();
     members.merge(&member("vm-1", "kranj"));
     members.merge(&member("vm-2", "loka"));
-    assert!(members.evacuate(&evacuation(3, &["kranj"])));
+    assert!(members.merge_evacuation(&evacuation(3, &["kranj"])));
     assert_eq!(candidates(&members), ["vm-2"]);
-    assert!(!members.evacuate(&evacuation(2, &[])), "earlier news change nothing");
-    assert!(members.evacuate(&evacuation(4, &["kranj", "loka"])));
+    assert!(!members.merge_evacuation(&evacuation(2, &[])), "an earlier state changes nothing");
+    assert!(members.merge_evacuation(&evacuation(4, &["kranj", "loka"])));
     assert_eq!(candidates(&members), Vec::<String>::new());
-    assert!(members.evacuate(&evacuation(5, &["loka"])));
+    assert!(members.merge_evacuation(&evacuation(5, &["loka"])));
     assert_eq!(candidates(&members), ["vm-1"]);
 }
 
 #[test]
-fn a_state_of_the_store_from_before_a_change_does_not_undo_it() {
+fn older_state_of_the_store_does_not_undo_a_change() {
     let mut known = evacuation(9, &["kranj"]);
     assert!(!known.set(BTreeSet::new(), at(8)));
     assert!(known.covers("kranj"));
@@ -55,15 +55,15 @@
 }
 
 proptest! {
-    /// Whatever order news come in and however often, the latest hold at the end.
+    /// Whatever the order and the number of repetitions, the latest state holds at the end.
     #[test]
-    fn the_latest_news_hold(order in prop::collection::vec(0..6u64, 1..40)) {
-        let news = |number: u64| evacuation(number, if number.is_multiple_of(2) { &["kranj"] } else { &["loka", "kranj"] });
+    fn latest_evacuation_holds_after_merges_in_any_order(order in prop::collection::vec(0..6u64, 1..40)) {
+        let state = |number: u64| evacuation(number, if number.is_multiple_of(2) { &["kranj"] } else { &["loka", "kranj"] });
         let mut known = Evacuation::default();
         for number in &order {
-            known.merge(&news(*number));
+            known.merge(&state(*number));
         }
         let latest = order.iter().copied().max().unwrap_or(0);
-        prop_assert_eq!(&known.domains, &if latest == 0 { BTreeSet::new() } else { news(latest).domains });
+        prop_assert_eq!(&known.domains, &if latest == 0 { BTreeSet::new() } else { state(latest).domains });
     }
 }
--- a/valetrack/src/member/tests/older.rs
+++ b/valetrack/src/member/tests/older.rs
@@ -1,4 +1,4 @@
-//! A store that comes back older: its revisions and the ids of its leases are given out again.
+//! Store rollbacks: the store is restored from an older copy and assigns revisions and lease ids a second time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,16 +6,16 @@
 use proptest::prelude::*;
 
 use crate::member::{
-    ChangeLog, Directory, EntryDoc, EntryKeeper, EntryStep, Evacuation, EvacuationKeys, MISSING_US, Member, Phase,
-    SeenEntry, Taken, entry_key,
+    ApplyOutcome, ChangeLog, Directory, EntryDoc, EntryKeeper, EntryStep, Evacuation, EvacuationKeys, MISSING_US,
+    Member, Phase, SeenEntry, entry_key,
 };
 use crate::store::{Change, Era, Item, Lease, Position};
 
-/// The era before the store comes back older, and the one after it.
+/// The eras before and after a store rollback.
 const BEFORE: Era = Era::new(4);
 const AFTER: Era = Era::new(5);
 const LEASE: Lease = Lease { id: 7, ttl_ms: 8_000, era: BEFORE };
-/// Longer than the operators take to write again what the store has lost.
+/// Longer than operators take to repeat the changes that the store has lost.
 const LONG_US: u64 = 60_000_000;
 
 fn before(revision: u64) -> Position {
@@ -42,47 +42,51 @@
     }
 
     #[test]
-    fn a_state_at_a_lower_revision_of_a_later_era_is_taken() {
+    fn log_accepts_lower_revision_of_later_era() {
         let mut log = read_before();
         let found = item("op/config", "38", after(26));
-        assert_eq!(log.read(std::slice::from_ref(&found), after(29), 2_000), Taken::Newest);
+        assert_eq!(log.read(std::slice::from_ref(&found), after(29), 2_000), ApplyOutcome::Newest);
         assert_eq!(log.position(), after(29));
         assert_eq!(log.items().collect::<Vec<_>>(), [&found]);
     }
 
     #[test]
-    fn an_answer_of_an_earlier_era_that_comes_last_is_dropped() {
+    fn log_drops_late_answer_of_earlier_era() {
         let mut log = read_before();
         assert!(log.enter(AFTER));
         assert!(!log.enter(BEFORE) && !log.enter(AFTER));
-        assert_eq!(log.read(&[], before(90), 2_000), Taken::Outdated);
-        assert_eq!(log.apply(&[], before(33), before(90), 2_000), Taken::Outdated);
+        assert_eq!(log.read(&[], before(90), 2_000), ApplyOutcome::Outdated);
+        assert_eq!(log.apply(&[], before(33), before(90), 2_000), ApplyOutcome::Outdated);
         assert_eq!(log.position(), Position::start_of(AFTER));
         assert_eq!(log.current_until_us(), None, "nothing of the later era has been read");
     }
 
     #[test]
-    fn changes_behind_a_revision_that_was_given_out_again_tell_nothing_of_those_before_it() {
+    fn log_rejects_changes_that_follow_a_reassigned_revision() {
         let mut log = read_before();
         let change = Change::Put(item("op/config", "61", after(34)));
         let changes = [change];
-        assert_eq!(log.apply(&changes, before(33), after(34), 2_000), Taken::Disconnected);
+        assert_eq!(log.apply(&changes, before(33), after(34), 2_000), ApplyOutcome::Disconnected);
         assert_eq!(log.position(), before(33));
         log.enter(AFTER);
-        assert_eq!(log.apply(&changes, before(33), after(34), 2_000), Taken::Disconnected, "nor once the era is known");
-    }
-
-    #[test_case(before(33); "that the store had reached before")]
-    #[test_case(before(90); "that the store has not reached again")]
-    #[test_case(Position::start_of(AFTER); "of a follower that has read nothing of the era")]
-    #[test_case(Position::new(Era::new(6), 1); "of a follower that has heard of a later era")]
-    fn a_follower_that_stands_elsewhere_is_sent_everything(follower: Position) {
+        assert_eq!(
+            log.apply(&changes, before(33), after(34), 2_000),
+            ApplyOutcome::Disconnected,
+            "nor after the era was recorded"
+        );
+    }
+
+    #[test_case(before(33); "at a revision that the store reached before the rollback")]
+    #[test_case(before(90); "at a revision that the store has not reached again")]
+    #[test_case(Position::start_of(AFTER); "that has read nothing of the era")]
+    #[test_case(Position::new(Era::new(6), 1); "that has observed a later era")]
+    fn follower_at_unrelated_position_is_sent_all_items(follower: Position) {
         let mut relay = ChangeLog::default();
         relay.read(&[item("a", "1", after(20))], after(29), 1_000);
         relay.apply(&[Change::Put(item("b", "2", after(40)))], after(29), after(40), 2_000);
-        let news = relay.since(follower);
-        assert!(news.whole);
-        assert_eq!((news.changes.len(), news.at), (2, after(40)));
+        let update = relay.since(follower);
+        assert!(update.whole);
+        assert_eq!((update.changes.len(), update.at), (2, after(40)));
     }
 }
 
@@ -112,27 +116,27 @@
     }
 
     #[test]
-    fn a_copy_does_not_bring_an_earlier_state_of_a_node_back() {
+    fn restored_copy_does_not_revert_a_node() {
         let mut directory = Directory::default();
         directory.replace(&[entry(Phase::Serving, BEFORE, before(12))], 0);
         directory.apply(&Change::Put(entry(Phase::Leaving, BEFORE, before(33))), 0);
         directory.replace(&[entry(Phase::Serving, BEFORE, after(12))], 1_000);
         assert_eq!(phase(&directory), Some(Phase::Leaving));
-        assert_eq!(directory.missing(), 0, "it stands there and is not missing");
+        assert_eq!(directory.missing(), 0, "the entry is stored and not missing");
     }
 
     #[test]
-    fn what_a_node_writes_again_counts_at_a_lower_revision() {
+    fn entry_rewritten_in_later_era_counts_at_lower_revision() {
         let mut directory = Directory::default();
         directory.replace(&[entry(Phase::Serving, BEFORE, before(33))], 0);
         directory.apply(&Change::Put(entry(Phase::Leaving, AFTER, after(30))), 1_000);
         assert_eq!(phase(&directory), Some(Phase::Leaving));
         directory.apply(&Change::Put(entry(Phase::Serving, BEFORE, before(34))), 2_000);
-        assert_eq!(phase(&directory), Some(Phase::Leaving), "a late word of the earlier era changes nothing");
+        assert_eq!(phase(&directory), Some(Phase::Leaving), "a late read of the earlier era changes nothing");
     }
 
     #[test]
-    fn an_entry_that_lapses_in_the_later_era_is_missing() {
+    fn entry_removed_in_later_era_is_missing() {
         let mut directory = Directory::default();
         directory.replace(&[entry(Phase::Serving, BEFORE, before(33))], 0);
         directory.apply(&Change::Gone { key: entry_key("a"), position: after(30) }, 1_000);
@@ -140,7 +144,7 @@
     }
 
     #[test]
-    fn an_entry_of_a_release_that_names_no_era_goes_by_that_of_the_store() {
+    fn entry_without_an_era_uses_that_of_the_store() {
         let mut directory = Directory::default();
         directory.replace(&[entry(Phase::Serving, Era::default(), before(33))], 0);
         directory.replace(&[entry(Phase::Leaving, Era::default(), after(30))], 0);
@@ -148,7 +152,7 @@
     }
 
     #[test]
-    fn many_entries_that_are_missing_at_once_are_given_the_time_to_write_them() {
+    fn many_missing_entries_expire_after_the_time_to_rewrite_them() {
         let mut directory = Directory::default();
         let entries: Vec<Item> = (0..1_000)
             .map(|at| {
@@ -160,7 +164,7 @@
         directory.replace(&entries, 0);
         directory.replace(&[], 0);
         assert_eq!(directory.missing(), 1_000);
-        // A thousand leases and writes at 400 a second take five seconds.
+        // 1,000 leases and 1,000 writes take five seconds at 400 calls a second.
         assert!(directory.expire(MISSING_US + 4_900_000).is_empty());
         assert_eq!(directory.expire(MISSING_US + 5_000_000).len(), 1_000);
     }
@@ -171,8 +175,8 @@
 
     use super::*;
 
-    /// Makes a keeper whose entry stands at revision 12 and whose store has come back older.
-    fn in_doubt() -> EntryKeeper {
+    /// Returns a keeper whose entry was written at revision 12 and whose store was rolled back afterwards.
+    fn keeper_after_rollback() -> EntryKeeper {
         let mut keeper = EntryKeeper::default();
         keeper.change();
         keeper.enter(BEFORE, 0);
@@ -187,9 +191,12 @@
     }
 
     #[test]
-    fn an_entry_that_the_copy_holds_costs_a_renewal() {
-        let mut keeper = in_doubt();
-        assert!(matches!(keeper.next(1_000_000), EntryStep::Wait { .. }), "it is looked for first");
+    fn entry_in_the_restored_copy_needs_only_a_renewal() {
+        let mut keeper = keeper_after_rollback();
+        assert!(
+            matches!(keeper.next(1_000_000), EntryStep::Wait { .. }),
+            "the keeper first waits to see the entry in the copy"
+        );
         keeper.seen(seen(12, 7));
         assert_eq!(keeper.next(3_000_000), EntryStep::Renew { lease: 7 });
         keeper.renewed(AFTER, 3_000_000);
@@ -198,34 +205,31 @@
 
     #[test_case(Some(seen(11, 7)), Some(after(11)); "an earlier write of it")]
     #[test_case(Some(seen(12, 8)), Some(after(12)); "with another lease")]
-    #[test_case(None, None; "nowhere")]
-    fn an_entry_that_the_copy_does_not_hold_is_written_with_another_lease(
-        found: Option<SeenEntry>,
-        expected: Option<Position>,
-    ) {
-        let mut keeper = in_doubt();
+    #[test_case(None, None; "no entry")]
+    fn entry_missing_in_the_copy_is_written_under_another_lease(found: Option<SeenEntry>, expected: Option<Position>) {
+        let mut keeper = keeper_after_rollback();
         match found {
             Some(entry) => keeper.seen(entry),
             None => keeper.missing(after(29)),
         }
-        assert_eq!(keeper.next(1_100_000), EntryStep::Grant, "its lease may be somebody else's by now");
+        assert_eq!(keeper.next(1_100_000), EntryStep::Grant, "its lease id may belong to another node by now");
         keeper.granted(Lease { id: 9, ttl_ms: 8_000, era: AFTER }, 1_100_000);
         assert_eq!(keeper.next(1_100_000), EntryStep::Write { lease: 9, expected });
     }
 
     #[test]
-    fn an_entry_that_nobody_shows_is_written_anew() {
-        let keeper = in_doubt();
+    fn entry_that_is_not_seen_is_rewritten_in_time() {
+        let keeper = keeper_after_rollback();
         let EntryStep::Wait { until_us } = keeper.next(1_000_000) else {
-            panic!("it waits");
+            panic!("expected a wait");
         };
-        assert!(until_us <= 1_600_000, "an entry is to be back within two seconds");
+        assert!(until_us <= 1_600_000, "an entry must be stored again within two seconds");
         assert_eq!(keeper.next(until_us), EntryStep::Grant);
     }
 
     #[test]
-    fn answers_of_the_earlier_era_that_come_late_count_for_nothing() {
-        let mut keeper = in_doubt();
+    fn keeper_ignores_late_answers_of_earlier_era() {
+        let mut keeper = keeper_after_rollback();
         keeper.missing(after(29));
         keeper.granted(Lease { id: 10, ..LEASE }, 1_000_000);
         assert_eq!(keeper.next(1_100_000), EntryStep::Grant);
@@ -240,7 +244,7 @@
     }
 
     #[test]
-    fn a_write_that_the_store_takes_after_it_came_back_older_is_made_again_with_another_lease() {
+    fn write_accepted_after_a_rollback_is_repeated_under_another_lease() {
         let mut keeper = EntryKeeper::default();
         keeper.change();
         keeper.enter(BEFORE, 0);
@@ -248,12 +252,12 @@
         assert_eq!(keeper.next(0), EntryStep::Write { lease: 7, expected: None });
         keeper.enter(AFTER, 0);
         keeper.wrote(keeper.wanted(), after(30));
-        assert_eq!(keeper.next(0), EntryStep::Grant, "the lease may be somebody else's");
+        assert_eq!(keeper.next(0), EntryStep::Grant, "the lease id may belong to another node");
     }
 
     #[test]
-    fn a_store_that_was_away_is_asked_by_what_prolongs_nobodys_lease() {
-        let mut keeper = in_doubt();
+    fn unreachable_store_is_checked_without_a_renewal() {
+        let mut keeper = keeper_after_rollback();
         keeper.failed(1_000_000, &mut fastrand::Rng::with_seed(3));
         assert_eq!(keeper.next(3_000_000), EntryStep::Ask);
     }
@@ -270,8 +274,8 @@
         keys.iter().map(|(domain, position)| (Arc::from(*domain), *position)).collect()
     }
 
-    /// Makes the keys of a node that knows of one evacuation, and of one that has ended, as the store comes back older.
-    fn back_older() -> EvacuationKeys {
+    /// Returns the keys of a node at a store rollback, with one evacuation in force and one that has ended.
+    fn keys_at_rollback() -> EvacuationKeys {
         let mut keys = EvacuationKeys::default();
         keys.read(stored(&[("loka", before(20))]));
         keys.put("kranj", before(31));
@@ -283,15 +287,15 @@
     }
 
     #[test]
-    fn what_the_copy_lacks_is_no_removal_and_what_it_holds_again_is_no_new_word() {
-        let mut keys = back_older();
+    fn restored_copy_neither_ends_nor_starts_evacuations() {
+        let mut keys = keys_at_rollback();
         keys.read(stored(&[("loka", after(20))]));
         assert_eq!(keys.domains(1_000), domains(&["kranj"]));
     }
 
     #[test]
-    fn what_the_operators_write_again_counts_in_any_order() {
-        let mut keys = back_older();
+    fn repeated_operator_changes_count_in_any_order() {
+        let mut keys = keys_at_rollback();
         keys.read(stored(&[("loka", after(20))]));
         keys.remove("loka");
         keys.put("kranj", after(30));
@@ -299,81 +303,85 @@
         keys.remove("kranj");
         assert_eq!(keys.domains(1_000), domains(&[]));
         keys.put("loka", after(20));
-        assert_eq!(keys.domains(1_000), domains(&["loka"]), "a new word, also at a revision that was given out before");
+        assert_eq!(
+            keys.domains(1_000),
+            domains(&["loka"]),
+            "a new change counts even at a revision that was assigned before"
+        );
     }
 
     #[test]
-    fn an_evacuation_of_the_later_era_counts_at_once() {
-        let mut keys = back_older();
+    fn evacuation_written_in_later_era_counts_at_once() {
+        let mut keys = keys_at_rollback();
         keys.read(stored(&[("loka", after(30))]));
         assert_eq!(keys.domains(1_000), domains(&["kranj", "loka"]));
     }
 
     #[test]
-    fn the_store_is_believed_in_the_end() {
-        let mut keys = back_older();
+    fn store_decides_after_the_retention_time() {
+        let mut keys = keys_at_rollback();
         keys.read(stored(&[("loka", after(20))]));
         assert_eq!(keys.domains(LONG_US), domains(&["loka"]));
     }
 
     #[test]
-    fn a_node_that_has_just_started_keeps_what_others_know() {
+    fn started_node_retains_evacuations_reported_by_peers() {
         let mut keys = EvacuationKeys::default();
         keys.read(stored(&[]));
-        keys.told(&domains(&["kranj"]), 0);
+        keys.record_peer_report(&domains(&["kranj"]), 0);
         assert_eq!(keys.domains(1_000), domains(&["kranj"]));
         assert_eq!(keys.domains(LONG_US), domains(&[]));
     }
 
     #[test]
-    fn news_of_a_later_era_count_at_a_lower_number() {
-        let news = |era, number, names: &[&str]| Evacuation { era, number, domains: domains(names) };
-        let mut known = news(BEFORE, 33, &["kranj"]);
-        assert!(known.merge(&news(AFTER, 30, &["loka"])));
-        assert!(!known.merge(&news(BEFORE, 99, &["kranj"])));
+    fn evacuation_of_later_era_wins_at_lower_number() {
+        let update = |era, number, names: &[&str]| Evacuation { era, number, domains: domains(names) };
+        let mut known = update(BEFORE, 33, &["kranj"]);
+        assert!(known.merge(&update(AFTER, 30, &["loka"])));
+        assert!(!known.merge(&update(BEFORE, 99, &["kranj"])));
         assert!(known.set(domains(&[]), after(31)));
     }
 }
 
-/// What happens to a store and to the nodes that follow it.
+/// Events of a store and of the nodes that follow it.
 #[derive(Debug, Clone)]
 enum Step {
     /// A key is written.
     Write(u8),
     /// A key is removed.
     Remove(u8),
-    /// The store comes back this many changes older.
-    ComeBack(usize),
-    /// The relay asks for changes; the answer comes at once, or is kept back.
-    RelayAsks { late: bool },
-    /// An answer that was kept back comes at last.
+    /// The store is rolled back by this many changes.
+    RollBack(usize),
+    /// The relay requests changes; the answer is received at once or delayed.
+    RelayRequests { late: bool },
+    /// A delayed answer is received.
     LateAnswer,
-    /// The follower asks the relay.
-    FollowerAsks,
-    /// The follower hears of the era from the store itself.
-    FollowerHears,
+    /// The follower sends a request to the relay.
+    FollowerRequests,
+    /// The follower learns the era from the store itself.
+    FollowerLearnsEra,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..5u8).prop_map(Step::Write),
         2 => (0..5u8).prop_map(Step::Remove),
-        1 => (1..12usize).prop_map(Step::ComeBack),
-        4 => any::<bool>().prop_map(|late| Step::RelayAsks { late }),
+        1 => (1..12usize).prop_map(Step::RollBack),
+        4 => any::<bool>().prop_map(|late| Step::RelayRequests { late }),
         1 => Just(Step::LateAnswer),
-        3 => Just(Step::FollowerAsks),
-        1 => Just(Step::FollowerHears),
+        3 => Just(Step::FollowerRequests),
+        1 => Just(Step::FollowerLearnsEra),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-/// A store whose history can be taken back.
+/// A store whose history can be rolled back.
 #[derive(Debug, Clone)]
 struct World {
     era: u64,
-    /// Key by revision that changed it, and whether it was written.
+    /// The changed key of each revision, and whether it was written or removed.
     history: Vec<(u8, bool)>,
-    /// Counts writes, so that no two write the same.
+    /// Number of writes, used as their values so that all differ.
     writes: u64,
     values: BTreeMap<(u64, usize), u64>,
 }
@@ -396,25 +404,25 @@
         self.values.insert((self.era, self.history.len()), self.writes);
     }
 
-    /// Returns the value of the write at a place of the history: the one of the latest era that wrote there.
-    fn value(&self, place: usize) -> String {
-        let written = (1..=self.era).rev().find_map(|era| self.values.get(&(era, place + 1)));
+    /// Returns the value of the write at an index of the history, from the latest era with a write at this index.
+    fn value(&self, index: usize) -> String {
+        let written = (1..=self.era).rev().find_map(|era| self.values.get(&(era, index + 1)));
         written.copied().unwrap_or(0).to_string()
     }
 
-    fn event(&self, place: usize) -> Change {
-        let (key, put) = self.history[place];
-        let position = Position::new(Era::new(self.era), place as u64 + 2);
+    fn event(&self, index: usize) -> Change {
+        let (key, put) = self.history[index];
+        let position = Position::new(Era::new(self.era), index as u64 + 2);
         match put {
-            true => Change::Put(item(&format!("key/{key}"), &self.value(place), position)),
+            true => Change::Put(item(&format!("key/{key}"), &self.value(index), position)),
             false => Change::Gone { key: format!("key/{key}"), position },
         }
     }
 
     fn items(&self) -> BTreeMap<String, Item> {
         let mut items = BTreeMap::new();
-        for place in 0..self.history.len() {
-            match self.event(place) {
+        for index in 0..self.history.len() {
+            match self.event(index) {
                 Change::Put(item) => items.insert(item.key.clone(), item),
                 Change::Gone { key, .. } => items.remove(&key),
             };
@@ -426,19 +434,19 @@
         Answer::Whole(self.items().into_values().collect(), self.position())
     }
 
-    /// Answers as the platform does: it compares the revision alone.
+    /// Answers as the platform does, which compares only revisions.
     fn answer(&self, after: Position) -> Answer {
         if after.is_start() || after.wire_revision() > self.position().wire_revision() {
             return self.whole();
         }
         let first = after.wire_revision().saturating_sub(1) as usize;
-        let changes = (first..self.history.len()).map(|place| self.event(place)).collect();
+        let changes = (first..self.history.len()).map(|index| self.event(index)).collect();
         Answer::Changes { after, changes, at: self.position() }
     }
 }
 
-fn take(log: &mut ChangeLog, answer: Answer, world: &World) {
-    let (taken, at) = match answer {
+fn apply_answer(log: &mut ChangeLog, answer: Answer, world: &World) {
+    let (outcome, at) = match answer {
         Answer::Whole(items, at) => {
             log.enter(at.era());
             (log.read(&items, at, 0), at)
@@ -448,8 +456,8 @@
             (log.apply(&changes, after, at, 0), at)
         }
     };
-    // What does not go on from what is known is read whole, unless it is the answer that is old.
-    if taken != Taken::Newest
+    // If the answer does not continue from the log, all items are read, unless the answer is outdated.
+    if outcome != ApplyOutcome::Newest
         && at.era() == log.era()
         && let Answer::Whole(items, at) = world.whole()
     {
@@ -469,10 +477,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whenever the store comes back older, and however answers cross, the next answer makes a relay whole and its
-    /// next news its follower.
+    /// Whenever the store is rolled back, and in whatever order answers are received, the relay's next answer and its
+    /// follower's next update bring both to the contents of the store.
     #[test]
-    fn relays_and_followers_end_with_what_the_store_holds(steps in steps()) {
+    fn relay_and_follower_match_the_store_after_rollbacks(steps in steps()) {
         let mut world = World { era: 1, history: Vec::new(), writes: 0, values: BTreeMap::new() };
         let (mut relay, mut follower) = (ChangeLog::default(), ChangeLog::default());
         let mut late: Vec<Answer> = Vec::new();
@@ -480,31 +488,31 @@
             match step {
                 Step::Write(key) => world.change(key, true),
                 Step::Remove(key) => world.change(key, false),
-                Step::ComeBack(changes) => {
+                Step::RollBack(changes) => {
                     let left = world.history.len().saturating_sub(changes);
                     world.history.truncate(left);
                     world.era += 1;
-                    let gone = |place: &usize| *place > left;
-                    world.values.retain(|(_, place), _| !gone(place));
+                    let lost = |index: &usize| *index > left;
+                    world.values.retain(|(_, index), _| !lost(index));
                 }
-                Step::RelayAsks { late: true } => late.push(world.answer(relay.position())),
-                Step::RelayAsks { late: false } => {
+                Step::RelayRequests { late: true } => late.push(world.answer(relay.position())),
+                Step::RelayRequests { late: false } => {
                     let answer = world.answer(relay.position());
-                    take(&mut relay, answer, &world);
+                    apply_answer(&mut relay, answer, &world);
                 }
                 Step::LateAnswer => {
                     if let Some(answer) = late.pop() {
-                        take(&mut relay, answer, &world);
+                        apply_answer(&mut relay, answer, &world);
                     }
                 }
-                Step::FollowerAsks => follow(&mut follower, &mut relay, &world),
-                Step::FollowerHears => {
+                Step::FollowerRequests => follow(&mut follower, &mut relay, &world),
+                Step::FollowerLearnsEra => {
                     follower.enter(Era::new(world.era));
                 }
             }
         }
         let answer = world.answer(relay.position());
-        take(&mut relay, answer, &world);
+        apply_answer(&mut relay, answer, &world);
         follow(&mut follower, &mut relay, &world);
         let held: BTreeMap<String, Vec<u8>> = world.items().into_iter().map(|(key, item)| (key, item.value)).collect();
         prop_assert_eq!(&values(&relay), &held);
@@ -512,22 +520,22 @@
     }
 }
 
-/// Has a follower ask its relay, which reads the store first where the follower has heard of a later era.
+/// Sends a request of a follower to its relay, which reads the store first if the follower has observed a later era.
 fn follow(follower: &mut ChangeLog, relay: &mut ChangeLog, world: &World) {
     if relay.enter(follower.era()) {
         let answer = world.answer(relay.position());
-        take(relay, answer, world);
+        apply_answer(relay, answer, world);
     }
     let after = follower.position();
-    let news = relay.since(after);
-    follower.enter(news.at.era());
-    match news.whole {
+    let update = relay.since(after);
+    follower.enter(update.at.era());
+    match update.whole {
         true => {
-            let items: Vec<Item> = news.changes.iter().filter_map(Change::item).cloned().collect();
-            follower.read(&items, news.at, 0);
+            let items: Vec<Item> = update.changes.iter().filter_map(Change::item).cloned().collect();
+            follower.read(&items, update.at, 0);
         }
         false => {
-            follower.apply(&news.changes, after, news.at, 0);
+            follower.apply(&update.changes, after, update.at, 0);
         }
     }
 }
--- a/valetrack/src/member/tests/other_writer.rs
+++ b/valetrack/src/member/tests/other_writer.rs
@@ -1,4 +1,4 @@
-//! Entries of another writer among those of the nodes.
+//! Entries that were written by something other than the node that they name.
 
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_names_no_node_and_the_others_hold() {
+fn unreadable_entries_are_ignored_and_counted_once() {
     let mut directory = Directory::default();
     let items = [
         item("vm-1", ENTRY.as_bytes(), 1),
@@ -35,20 +35,20 @@
 }
 
 #[test]
-fn an_entry_that_another_writer_overwrote_is_believed_until_its_node_could_write_it_anew() {
+fn overwritten_entry_is_kept_until_its_node_could_rewrite_it() {
     let mut directory = Directory::default();
     directory.replace(&[item("vm-1", ENTRY.as_bytes(), 1)], 0);
     directory.apply(&Change::Put(item("vm-1", b"[]", 2)), 1_000);
     assert!(directory.expire(1_000 + MISSING_US - 1).is_empty());
     directory.apply(&Change::Put(item("vm-1", ENTRY.as_bytes(), 3)), 1_500_000);
-    assert!(directory.expire(10_000_000).is_empty(), "its node has written it anew");
+    assert!(directory.expire(10_000_000).is_empty(), "its node has rewritten it");
     directory.apply(&Change::Put(item("vm-1", b"[]", 4)), 10_000_000);
     assert_eq!(directory.expire(10_000_000 + MISSING_US).len(), 1);
     assert_eq!(names(&directory), Vec::<String>::new());
 }
 
 #[test]
-fn a_node_writes_its_entry_anew_over_another_writer() {
+fn keeper_rewrites_an_entry_that_was_overwritten() {
     let mut keeper = EntryKeeper::default();
     keeper.change();
     keeper.granted(Lease { id: 5, ttl_ms: 8_000, era: Era::default() }, 0);
@@ -60,7 +60,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_break_the_directory(value in prop::collection::vec(any::<u8>(), 0..120), place in 0..120usize, byte in any::<u8>()) {
+    fn directory_ignores_arbitrary_bytes(value in prop::collection::vec(any::<u8>(), 0..120), place in 0..120usize, byte in any::<u8>()) {
         let mut directory = Directory::default();
         let mut changed = ENTRY.as_bytes().to_vec();
         let place = place % changed.len();
--- a/valetrack/src/member/tests/registrar.rs
+++ b/valetrack/src/member/tests/registrar.rs
@@ -1,4 +1,5 @@
-//! A relay keeps the entries of its followers under one lease, whatever the store, the followers and other relays do.
+//! A relay keeps the entries of its followers under one lease through faults of the store, the followers and other
+//! relays.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -29,7 +30,7 @@
     }
 }
 
-/// What a store holds of one key.
+/// Value of one key in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Stored {
     position: Position,
@@ -45,11 +46,11 @@
 }
 
 impl World {
-    /// Carries a batch out as the store does: all or nothing.
+    /// Applies a batch atomically, as the store does.
     fn transact(&mut self, batch: &Batch) -> Result<Position, Vec<(String, Option<Position>)>> {
-        let stands = |change: &LeasedChange| self.items.get(change.key()).map(|stored| stored.position);
-        if batch.changes.iter().any(|change| stands(change) != change.expected()) {
-            return Err(batch.changes.iter().map(|change| (change.key().to_owned(), stands(change))).collect());
+        let position_of = |change: &LeasedChange| self.items.get(change.key()).map(|stored| stored.position);
+        if batch.changes.iter().any(|change| position_of(change) != change.expected()) {
+            return Err(batch.changes.iter().map(|change| (change.key().to_owned(), position_of(change))).collect());
         }
         self.revision += 1;
         for change in &batch.changes {
@@ -87,7 +88,7 @@
         Self { registrar: Registrar::new(LEASE_MS), lease, next: lease + 10 }
     }
 
-    /// Writes what is due, until nothing is; returns how many calls that took.
+    /// Writes batches until none is due; returns the number of calls.
     fn write(&mut self, world: &mut World, now_us: u64) -> usize {
         for calls in 0..100 {
             let batch = self.registrar.batch(lease(self.lease), now_us, now_us).expect("entries");
@@ -97,13 +98,13 @@
             assert!(batch.changes.len() <= TRANSACTION_MAX);
             match world.transact(&batch) {
                 Ok(position) => self.registrar.wrote(&batch, position),
-                Err(stands) => self.registrar.conflicted(&batch, &stands),
+                Err(found) => self.registrar.conflicted(&batch, &found),
             }
         }
-        panic!("it does not come to rest");
+        panic!("batches are still due after 100 calls");
     }
 
-    /// Reads the store whole.
+    /// Reads the store completely.
     fn read(&mut self, world: &World) {
         let followers: Vec<Arc<str>> = self.registrar.vms().cloned().collect();
         for vm in followers {
@@ -117,17 +118,17 @@
         }
     }
 
-    fn hear(&mut self, world: &World, member: &Member, now_us: u64) {
-        let stands = world.items.get(&entry_key(&member.vm)).map(|stored| stored.position);
-        self.registrar.heard(member, stands, now_us);
+    fn serve_request(&mut self, world: &World, member: &Member, now_us: u64) {
+        let stored = world.items.get(&entry_key(&member.vm)).map(|stored| stored.position);
+        self.registrar.record_follower(member, stored, now_us);
     }
 }
 
 #[test]
-fn many_entries_take_few_calls() {
+fn many_entries_are_written_in_few_calls() {
     let (mut world, mut relay) = (World::default(), Relay::new(1));
     for at in 0..64 {
-        relay.hear(&world, &member(&format!("vm-{at}"), 1), 0);
+        relay.serve_request(&world, &member(&format!("vm-{at}"), 1), 0);
     }
     assert_eq!(relay.write(&mut world, 0), 4);
     assert_eq!(world.items.len(), 64);
@@ -135,32 +136,32 @@
 }
 
 #[test]
-fn the_entry_of_a_follower_that_is_silent_is_taken_away() {
+fn entry_of_an_unresponsive_follower_is_removed() {
     let (mut world, mut relay) = (World::default(), Relay::new(1));
-    relay.hear(&world, &member("dead", 1), 0);
-    relay.hear(&world, &member("alive", 1), 0);
+    relay.serve_request(&world, &member("dead", 1), 0);
+    relay.serve_request(&world, &member("alive", 1), 0);
     relay.write(&mut world, 0);
     for second in 1..=6 {
-        relay.hear(&world, &member("alive", 1), second * SECOND_US);
+        relay.serve_request(&world, &member("alive", 1), second * SECOND_US);
         relay.write(&mut world, second * SECOND_US);
     }
     assert_eq!(world.items.keys().collect::<Vec<_>>(), [&entry_key("alive")]);
 }
 
 #[test]
-fn a_follower_that_exits_is_taken_away_at_once() {
+fn entry_of_an_exiting_follower_is_removed_at_once() {
     let (mut world, mut relay) = (World::default(), Relay::new(1));
-    relay.hear(&world, &member("vm", 1), 0);
+    relay.serve_request(&world, &member("vm", 1), 0);
     relay.write(&mut world, 0);
-    relay.hear(&world, &Member { phase: Phase::Gone, ..member("vm", 1) }, 10);
+    relay.serve_request(&world, &Member { phase: Phase::Gone, ..member("vm", 1) }, 10);
     relay.write(&mut world, 10);
     assert!(world.items.is_empty());
 }
 
 #[test]
-fn entries_are_written_anew_under_another_lease_when_theirs_is_over() {
+fn entries_are_rewritten_under_another_lease_after_expiry() {
     let (mut world, mut relay) = (World::default(), Relay::new(1));
-    relay.hear(&world, &member("vm", 1), 0);
+    relay.serve_request(&world, &member("vm", 1), 0);
     relay.write(&mut world, 0);
     world.end_lease(1);
     relay.registrar.lease_over();
@@ -170,35 +171,35 @@
 }
 
 #[test]
-fn an_entry_that_another_relay_keeps_is_left_alone() {
+fn entry_kept_by_another_relay_is_left_alone() {
     let (mut world, mut old, mut new) = (World::default(), Relay::new(1), Relay::new(2));
-    old.hear(&world, &member("vm", 1), 0);
+    old.serve_request(&world, &member("vm", 1), 0);
     old.write(&mut world, 0);
-    new.hear(&world, &member("vm", 1), 100);
+    new.serve_request(&world, &member("vm", 1), 100);
     new.write(&mut world, 100);
     old.read(&world);
     assert!(old.registrar.is_empty());
     world.items.clear();
     old.read(&world);
-    assert_eq!(old.write(&mut world, 200), 0, "it does not bring a node back that it has not heard of since");
+    assert_eq!(old.write(&mut world, 200), 0, "an entry is not written again without a request of its node");
 }
 
-/// What happens next.
+/// Next event of a fleet.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A follower asks a relay, in this life.
+    /// A live follower sends a request to a relay.
     Ask { vm: usize, relay: usize },
-    /// A follower starts anew.
+    /// A follower restarts.
     Restart { vm: usize },
     /// A follower dies.
     Die { vm: usize },
-    /// A relay writes what is due.
+    /// A relay writes all batches that are due.
     Write { relay: usize },
     /// A relay reads the store.
     Read { relay: usize },
-    /// The lease of a relay runs out unnoticed.
+    /// The lease of a relay expires.
     Lapse { relay: usize },
-    /// Time goes by, in milliseconds.
+    /// Time passes, in milliseconds.
     Pass { ms: u64 },
 }
 
@@ -218,21 +219,25 @@
 struct Fleet {
     world: World,
     relays: [Relay; 2],
-    /// The lives of followers; none where one is dead.
-    lives: [Option<u64>; 4],
+    /// The incarnations of followers; none if a follower is dead.
+    incarnations: [Option<u64>; 4],
     now_us: u64,
 }
 
 impl Fleet {
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Ask { vm, relay } => {
-                if let Some(life) = self.lives[vm] {
-                    self.relays[relay].hear(&self.world, &member(&format!("vm-{vm}"), life), self.now_us);
+                if let Some(incarnation) = self.incarnations[vm] {
+                    self.relays[relay].serve_request(
+                        &self.world,
+                        &member(&format!("vm-{vm}"), incarnation),
+                        self.now_us,
+                    );
                 }
             }
-            Step::Restart { vm } => self.lives[vm] = Some(self.lives[vm].unwrap_or(0) + 100),
-            Step::Die { vm } => self.lives[vm] = None,
+            Step::Restart { vm } => self.incarnations[vm] = Some(self.incarnations[vm].unwrap_or(0) + 100),
+            Step::Die { vm } => self.incarnations[vm] = None,
             Step::Write { relay } => {
                 self.relays[relay].write(&mut self.world, self.now_us);
             }
@@ -248,17 +253,17 @@
         }
     }
 
-    /// Has all living followers ask the first relay for a while, undisturbed.
-    fn come_to_rest(&mut self) {
+    /// Runs the fleet without faults for a while: all live followers send requests to the first relay.
+    fn run_without_faults(&mut self) {
         for _ in 0..10 {
             for vm in 0..4 {
-                self.play(&Step::Ask { vm, relay: 0 });
+                self.apply(&Step::Ask { vm, relay: 0 });
             }
             for relay in [0, 1, 0] {
-                self.play(&Step::Read { relay });
-                self.play(&Step::Write { relay });
+                self.apply(&Step::Read { relay });
+                self.apply(&Step::Write { relay });
             }
-            self.play(&Step::Pass { ms: 900 });
+            self.apply(&Step::Pass { ms: 900 });
         }
     }
 }
@@ -271,23 +276,24 @@
         ..Default::default()
     })]
 
-    /// Whatever came before: after a quiet while the store holds just the followers that live, in their present lives.
+    /// After any steps and a time without faults, the store holds exactly the live followers in their current
+    /// incarnations.
     #[test]
-    fn who_lives_is_kept_and_who_died_is_not(steps in prop::collection::vec(step(), 0..120)) {
+    fn store_holds_exactly_the_live_followers_after_faults(steps in prop::collection::vec(step(), 0..120)) {
         let mut fleet =
-            Fleet { world: World::default(), relays: [Relay::new(1), Relay::new(2)], lives: [Some(1); 4], now_us: 0 };
+            Fleet { world: World::default(), relays: [Relay::new(1), Relay::new(2)], incarnations: [Some(1); 4], now_us: 0 };
         for step in &steps {
-            fleet.play(step);
+            fleet.apply(step);
         }
-        fleet.come_to_rest();
+        fleet.run_without_faults();
         let held: BTreeSet<(String, u64)> =
             fleet.world.items.iter().map(|(key, stored)| (key.clone(), stored.incarnation)).collect();
-        let living: BTreeSet<(String, u64)> = fleet
-            .lives
+        let live: BTreeSet<(String, u64)> = fleet
+            .incarnations
             .iter()
             .enumerate()
-            .filter_map(|(vm, life)| Some((entry_key(&format!("vm-{vm}")), (*life)?)))
+            .filter_map(|(vm, incarnation)| Some((entry_key(&format!("vm-{vm}")), (*incarnation)?)))
             .collect();
-        prop_assert_eq!(held, living);
+        prop_assert_eq!(held, live);
     }
 }
--- a/valetrack/src/member/tests/relay.rs
+++ b/valetrack/src/member/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Nodes that follow a relay see what the store holds, and know how old it is.
+//! Nodes that follow a relay read the contents of the store and their age.
 
 use proptest::prelude::*;
 use test_case::test_case;
@@ -8,12 +8,12 @@
 use crate::store::{Change, Item};
 
 #[test]
-fn a_log_is_current_only_while_the_store_answers() {
+fn log_is_current_only_while_the_store_answers() {
     let mut log = ChangeLog::default();
     assert_eq!(log.current_until_us(), None);
     log.read(&[], at(5), 1_000);
     assert_eq!(log.current_until_us(), Some(1_000 + AGE_MAX_US));
-    log.lose();
+    log.mark_stale();
     assert_eq!(log.current_until_us(), None);
     assert_eq!(log.age_ms(2_000), u32::MAX);
     log.apply(&[], at(5), at(5), 3_000);
@@ -23,13 +23,13 @@
 #[test_case(0, 700; "after an answer at the end of its wait")]
 #[test_case(630_000, 320; "after an answer with changes, which may be as old as its call")]
 #[test_case(1_190_000, 50; "when it is nearly too old")]
-fn a_relay_asks_again_before_its_news_are_too_old(age_us: u64, wait_ms: u64) {
+fn relay_calls_again_before_its_log_is_too_old(age_us: u64, wait_ms: u64) {
     let mut log = ChangeLog::default();
     log.read(&[], at(5), 1_000);
     assert_eq!(log.relay_wait_ms(1_000 + age_us), wait_ms);
 }
 
-/// What the store does next: writes or removes one of a few keys.
+/// Steps of the store, each a write or a removal of one of a few keys, and whether the follower then sends a request.
 fn steps() -> impl Strategy<Value = Vec<(u8, bool, bool)>> {
     prop::collection::vec((0..6u8, any::<bool>(), prop::bool::weighted(0.3)), 1..900)
 }
@@ -37,13 +37,13 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// However rarely a follower asks, it ends with the items of its relay, and so with the store's.
+    /// However rarely a follower sends requests, it ends with the items of its relay, and so of the store.
     #[test]
-    fn a_follower_sees_what_its_relay_has_read(steps in steps()) {
+    fn follower_holds_the_items_of_its_relay(steps in steps()) {
         let mut relay = ChangeLog::default();
         let mut follower = ChangeLog::default();
         relay.read(&[], at(1), 0);
-        for (step, (key, put, asks)) in steps.into_iter().enumerate() {
+        for (step, (key, put, requests)) in steps.into_iter().enumerate() {
             let revision = step as u64 + 2;
             let position = at(revision);
             let key = format!("node/{key}");
@@ -53,7 +53,7 @@
             };
             let after = relay.position();
             relay.apply(&[change], after, position, revision);
-            if asks {
+            if requests {
                 follow(&mut follower, &relay);
                 prop_assert_eq!(follower.position(), position);
                 prop_assert_eq!(all(&follower), all(&relay));
@@ -63,17 +63,17 @@
 }
 
 fn follow(follower: &mut ChangeLog, relay: &ChangeLog) {
-    let news = relay.since(follower.position());
-    if news.whole {
-        let items: Vec<Item> = news.changes.iter().filter_map(Change::item).cloned().collect();
-        follower.read(&items, news.at, 0);
+    let update = relay.since(follower.position());
+    if update.whole {
+        let items: Vec<Item> = update.changes.iter().filter_map(Change::item).cloned().collect();
+        follower.read(&items, update.at, 0);
     } else {
         let after = follower.position();
-        follower.apply(&news.changes, after, news.at, 0);
+        follower.apply(&update.changes, after, update.at, 0);
     }
 }
 
-/// Returns all items of a log, as a node is sent them that has read nothing.
+/// Returns all items of a log, as it sends them to a node that has read nothing.
 fn all(log: &ChangeLog) -> Vec<Change> {
     log.since(at(u64::MAX)).changes
 }
--- a/valetrack/src/member/tests/role.rs
+++ b/valetrack/src/member/tests/role.rs
@@ -1,12 +1,12 @@
-//! Which nodes follow the store, and for whom: few relays a failure domain, one reader a fleet, whoever starts or dies.
+//! Selection of relays: a few per failure domain and one reader per fleet, whichever nodes start or die.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use test_case::test_case;
 
-use crate::member::role::{begins, joins};
-use crate::member::{Avoided, GROUP_MAX, Member, Members, Phase, is_needed, is_surplus, relay_of, volunteers};
+use crate::member::role::{joins_relay, starts_as_relay};
+use crate::member::{AvoidReason, GROUP_MAX, Member, Members, Phase, is_candidate, is_needed, is_surplus, relay_of};
 
 fn member(vm: &str, domain: &str, phase: Phase, is_relay: bool) -> Member {
     Member {
@@ -26,7 +26,7 @@
     members.set(Member { is_relay, ..me });
 }
 
-/// Lets each node of a fleet choose its role in turn until nothing changes, whatever the view shows at once to all.
+/// Lets the nodes of a fleet choose their roles one after the other until no role changes; all share one view.
 fn settle(members: &mut Members) {
     loop {
         let change = members.iter().find_map(|me| {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Makes a fleet of so many nodes of one failure domain that has settled.
+/// Returns a settled fleet of `count` nodes in one failure domain.
 fn fleet(count: usize) -> Members {
     let mut members = Members::default();
     for at in 0..count {
@@ -51,9 +51,9 @@
     members
 }
 
-/// Returns how many nodes that are no relays follow each relay.
+/// Returns for each relay how many nodes that are no relays follow it.
 fn groups(members: &Members, avoided: &str) -> BTreeMap<Arc<str>, usize> {
-    let avoids = |vm: &str| (vm == avoided).then_some(Avoided::Silent);
+    let avoids = |vm: &str| (vm == avoided).then_some(AvoidReason::Silent);
     let mut groups = BTreeMap::new();
     for me in members.iter().filter(|me| !me.is_relay && &*me.vm != avoided) {
         if let Some(relay) = relay_of(members, me, avoids) {
@@ -67,12 +67,12 @@
     members.iter().filter(|member| member.is_relay).map(|member| member.vm.clone()).collect()
 }
 
-#[test_case(1, 1; "a node alone follows the store")]
+#[test_case(1, 1; "a single node follows the store")]
 #[test_case(13, 1; "a few nodes have one relay")]
-#[test_case(200, 4; "many have several")]
+#[test_case(200, 4; "many nodes have several relays")]
 #[test_case(984, 16; "a large domain")]
-#[test_case(1_968, 31; "twice as large a domain")]
-fn the_nodes_of_a_domain_follow_few_relays(nodes: usize, count: usize) {
+#[test_case(1_968, 31; "a domain twice as large")]
+fn nodes_of_a_domain_follow_few_relays(nodes: usize, count: usize) {
     let members = fleet(nodes);
     let relays = relays(&members);
     assert_eq!(relays.len(), count);
@@ -80,13 +80,13 @@
     let followed: BTreeSet<Arc<str>> = groups.keys().cloned().collect();
     assert!(nodes == 1 || followed == relays, "each relay has followers");
     assert!(groups.values().all(|size| *size < 2 * GROUP_MAX), "{groups:?}");
-    assert_eq!(groups.values().sum::<usize>(), nodes - count, "nobody is left to the store");
+    assert_eq!(groups.values().sum::<usize>(), nodes - count, "no other node follows the store");
 }
 
 #[test_case(13; "a few nodes")]
 #[test_case(984; "many")]
 #[test_case(1_968; "twice as many")]
-fn one_relay_of_a_fleet_follows_the_store_itself(nodes: usize) {
+fn one_relay_of_a_fleet_follows_the_store(nodes: usize) {
     let mut members = Members::default();
     for at in 0..nodes {
         members.set(member(&format!("vm-{at}"), ["kranj", "skofja", "trzic"][at % 3], Phase::Serving, false));
@@ -95,11 +95,11 @@
     let readers = members.iter().filter(|me| me.is_relay && relay_of(&members, me, |_| None).is_none()).count();
     assert_eq!(readers, 1);
     let followed = members.iter().filter_map(|me| relay_of(&members, me, |_| None));
-    assert!(followed.into_iter().all(|relay| relay.is_relay), "nobody has to become one");
+    assert!(followed.into_iter().all(|relay| relay.is_relay), "no node has to become a relay");
 }
 
 #[test]
-fn another_relay_stands_in_for_one_that_failed() {
+fn followers_of_a_failed_relay_choose_another() {
     let members = fleet(200);
     let all = relays(&members);
     let failed = all.first().cloned().expect("a relay");
@@ -109,31 +109,35 @@
 }
 
 #[test]
-fn where_the_only_relay_failed_the_others_agree_on_the_next() {
+fn nodes_agree_on_successor_when_the_only_relay_fails() {
     let members = fleet(8);
     let failed = relays(&members).first().cloned().expect("a relay");
-    let avoids = |vm: &str| (*vm == *failed).then_some(Avoided::Silent);
+    let avoids = |vm: &str| (*vm == *failed).then_some(AvoidReason::Silent);
     let others: Vec<&Member> = members.iter().filter(|me| me.vm != failed).collect();
     let next: BTreeSet<Option<Arc<str>>> =
         others.iter().map(|me| relay_of(&members, me, avoids).map(|relay| relay.vm.clone())).collect();
     let chosen = next.iter().flatten().next().cloned().expect("a relay");
-    assert_eq!(next.len(), 2, "one of them, which follows the store itself: {next:?}");
+    assert_eq!(next.len(), 2, "all choose one node, which follows the store itself: {next:?}");
     let needed: Vec<_> = others.iter().filter(|me| is_needed(&members, me, avoids)).map(|me| me.vm.clone()).collect();
     assert_eq!(needed, [chosen]);
 }
 
 #[test]
-fn a_relay_that_is_behind_is_followed_where_there_is_no_other_one() {
+fn only_relay_is_followed_even_when_it_is_behind() {
     let members = fleet(8);
     let only = relays(&members).first().cloned().expect("a relay");
-    let behind = |vm: &str| (*vm == *only).then_some(Avoided::Behind);
+    let behind = |vm: &str| (*vm == *only).then_some(AvoidReason::Behind);
     for me in members.iter().filter(|me| !me.is_relay) {
-        assert_eq!(relay_of(&members, me, behind).map(|relay| &relay.vm), Some(&only), "the store is away for all");
+        assert_eq!(
+            relay_of(&members, me, behind).map(|relay| &relay.vm),
+            Some(&only),
+            "the store is unreachable for all"
+        );
     }
 }
 
 #[test]
-fn nobody_follows_a_node_that_leaves_or_is_elsewhere_and_no_relay() {
+fn leaving_relays_and_nodes_of_other_domains_are_not_followed() {
     let mut members = Members::default();
     members.set(member("vm-1", "kranj", Phase::Leaving, true));
     members.set(member("vm-2", "loka", Phase::Serving, false));
@@ -141,56 +145,60 @@
     members.set(me.clone());
     assert_eq!(relay_of(&members, &me, |_| None), None);
     members.set(member("vm-4", "loka", Phase::Serving, true));
-    assert_eq!(relay_of(&members, &me, |_| None).map(|relay| &*relay.vm), Some("vm-4"), "rather than the store");
+    assert_eq!(
+        relay_of(&members, &me, |_| None).map(|relay| &*relay.vm),
+        Some("vm-4"),
+        "a relay of another domain is preferred to the store"
+    );
 }
 
 #[test_case(984, 20..=80; "a large fleet")]
 #[test_case(1_968, 40..=130; "twice as large")]
-fn about_as_many_begin_as_are_needed(nodes: usize, expected: std::ops::RangeInclusive<usize>) {
+fn first_round_yields_about_as_many_relays_as_needed(nodes: usize, expected: std::ops::RangeInclusive<usize>) {
     let mut rng = fastrand::Rng::with_seed(7);
-    let begun = (0..nodes).filter(|_| volunteers(0, &mut rng)).count();
-    assert!(expected.contains(&begun), "{begun} of {nodes}");
+    let candidates = (0..nodes).filter(|_| is_candidate(0, &mut rng)).count();
+    assert!(expected.contains(&candidates), "{candidates} of {nodes}");
 }
 
 #[test]
-fn a_node_alone_does_not_wait_for_long() {
+fn single_node_becomes_relay_within_six_rounds() {
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..200 {
-        assert!((0..6).any(|round| volunteers(round, &mut rng)));
+        assert!((0..6).any(|round| is_candidate(round, &mut rng)));
     }
 }
 
-/// A fleet that starts at once, in rounds: who begins as a relay, who asks one, and how many come to each.
+/// Simulates a fleet that starts at once, in rounds in which nodes become relays or send their first request to one.
 ///
-/// The load: all nodes find the same few relays at the same moment. Asked by all of them, the first ones spend seconds on
-/// handshakes, and their followers take them for dead.
+/// Guards against an overload of the first relays: all nodes find the same few relays at the same moment. If all of them
+/// sent a request at once, these relays would spend seconds on handshakes, and their followers would consider them dead.
 #[test_case(13; "a few nodes")]
 #[test_case(200; "a large domain")]
 #[test_case(984; "a large fleet")]
 #[test_case(1_968; "twice as large")]
-fn no_relay_is_asked_by_many_at_once_in_a_fleet_that_starts(nodes: usize) {
+fn starting_fleet_spreads_first_requests_over_relays_and_rounds(nodes: usize) {
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut waiting = nodes;
         let mut relays = 0;
         let mut most = 0;
         for round in 0..12 {
-            // What is written in one round is read in the next.
+            // The writes of one round are read in the next.
             let seen = relays;
-            let mut asked = 0;
+            let mut requests = 0;
             for _ in 0..std::mem::take(&mut waiting) {
-                if (round == 0 && begins(&mut rng)) || (seen == 0 && volunteers(round, &mut rng)) {
+                if (round == 0 && starts_as_relay(&mut rng)) || (seen == 0 && is_candidate(round, &mut rng)) {
                     relays += 1;
-                } else if seen > 0 && joins(round, seen, &mut rng) {
-                    asked += 1;
+                } else if seen > 0 && joins_relay(round, seen, &mut rng) {
+                    requests += 1;
                 } else {
                     waiting += 1;
                 }
             }
-            most = most.max(asked / seen.max(1));
+            most = most.max(requests / seen.max(1));
         }
-        assert_eq!(waiting, 0, "seed {seed}: nobody waits for longer than some seconds");
-        assert!(most <= 2 * GROUP_MAX, "seed {seed}: {most} at one relay in one round");
+        assert_eq!(waiting, 0, "seed {seed}: no node waits for longer than some seconds");
+        assert!(most <= 2 * GROUP_MAX, "seed {seed}: {most} requests to one relay in one round");
         assert!(relays * GROUP_MAX <= nodes * 8 + 8 * GROUP_MAX, "seed {seed}: {relays} relays of {nodes}");
     }
 }
--- a/valetrack/src/member/tests/suspension.rs
+++ b/valetrack/src/member/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A VM that is suspended at any point: what its node believes of the store is as old as it is.
+//! A VM that is suspended at any point: its node accounts for the time of the suspension.
 
 use proptest::prelude::*;
 
@@ -6,9 +6,9 @@
 use crate::member::{AGE_MAX_US, ChangeLog, EntryKeeper, EntryStep};
 use crate::store::{Era, Lease};
 
-/// A lease of the length that the store gives.
+/// A lease of the lifetime that the store grants.
 const LEASE: Lease = Lease { id: 7, ttl_ms: 8_000, era: Era::new(0) };
-/// Longest pause between two renewals that a node makes, in microseconds.
+/// Longest pause between two renewals of a node.
 const RENEWED_US: u64 = 2_000_000;
 
 proptest! {
@@ -20,7 +20,7 @@
     })]
 
     #[test]
-    fn a_lease_that_may_be_over_is_never_waited_on(
+    fn keeper_never_waits_on_a_lease_that_may_have_expired(
         pauses_us in prop::collection::vec(0..1_500_000_u64, 1..20),
         suspended_at in 0..20_usize,
         suspended_us in 0..60_000_000_u64,
@@ -33,7 +33,7 @@
         for (step, pause_us) in pauses_us.into_iter().enumerate() {
             now_us += pause_us + if step == suspended_at { suspended_us } else { 0 };
             match keeper.next(now_us) {
-                // The very first step after a suspension asks the store.
+                // The first step after a suspension calls the store.
                 EntryStep::Wait { until_us } => {
                     prop_assert!(now_us < confirmed_us + RENEWED_US && until_us <= confirmed_us + RENEWED_US);
                 }
@@ -45,7 +45,7 @@
                             keeper.lease_over();
                             prop_assert_eq!(keeper.next(now_us), EntryStep::Grant);
                             keeper.granted(LEASE, now_us);
-                            prop_assert!(matches!(keeper.next(now_us), EntryStep::Write { .. }), "written anew");
+                            prop_assert!(matches!(keeper.next(now_us), EntryStep::Write { .. }), "the entry is rewritten");
                             keeper.wrote(keeper.wanted(), at(9));
                         }
                     }
@@ -57,7 +57,7 @@
     }
 
     #[test]
-    fn a_relay_that_was_suspended_serves_no_old_news(
+    fn relay_serves_no_stale_log_after_a_suspension(
         confirmed_us in 0..10_000_000_u64,
         suspended_us in 0..30_000_000_u64,
     ) {
--- a/valetrack/src/member/tests/view.rs
+++ b/valetrack/src/member/tests/view.rs
@@ -1,4 +1,4 @@
-//! Views merge to the same, whatever the order, and never go back.
+//! Views merge to the same result in any order, and never return to an earlier state.
 
 use std::sync::Arc;
 
@@ -29,14 +29,17 @@
     prop::sample::select(vec![Phase::Joining, Phase::Serving, Phase::Leaving, Phase::Gone])
 }
 
-fn news() -> impl Strategy<Value = Vec<Member>> {
-    prop::collection::vec((0..4u8, 1..4u64, phase()).prop_map(|(vm, life, phase)| member(vm, life, phase)), 0..30)
+fn reports() -> impl Strategy<Value = Vec<Member>> {
+    prop::collection::vec(
+        (0..4u8, 1..4u64, phase()).prop_map(|(vm, incarnation, phase)| member(vm, incarnation, phase)),
+        0..30,
+    )
 }
 
-fn merged(news: &[Member]) -> Members {
+fn merged(reports: &[Member]) -> Members {
     let mut members = Members::default();
-    for one in news {
-        members.merge(one);
+    for report in reports {
+        members.merge(report);
     }
     members
 }
@@ -54,28 +57,28 @@
     })]
 
     #[test]
-    fn order_and_doubles_do_not_matter(news in news(), seed in any::<u64>()) {
-        let mut mixed = news.clone();
-        mixed.extend(news.iter().take(5).cloned());
+    fn merge_is_independent_of_order_and_repetition(reports in reports(), seed in any::<u64>()) {
+        let mut mixed = reports.clone();
+        mixed.extend(reports.iter().take(5).cloned());
         fastrand::Rng::with_seed(seed).shuffle(&mut mixed);
-        prop_assert_eq!(merged(&news), merged(&mixed));
+        prop_assert_eq!(merged(&reports), merged(&mixed));
     }
 
     #[test]
-    fn no_news_and_no_list_brings_a_state_back(
-        news in news(),
+    fn neither_merges_nor_lists_revert_a_state(
+        reports in reports(),
         lists in prop::collection::vec(prop::collection::vec((0..4u8, any::<bool>()), 0..4), 30),
     ) {
         let mut members = Members::default();
         let mut now_us = 0;
-        for (one, list) in news.iter().zip(lists) {
+        for (report, list) in reports.iter().zip(lists) {
             let before: Vec<Member> = members.iter().cloned().collect();
-            members.merge(one);
+            members.merge(report);
             now_us += 1_000_000;
             let rows: Vec<ListedVm> = list.into_iter().map(|(vm, leaving)| row(vm, leaving)).collect();
-            members.take_list(&rows, now_us);
+            members.apply_list(&rows, now_us);
             for old in before {
-                let new = members.get(&old.vm).expect("a VM is never forgotten");
+                let new = members.get(&old.vm).expect("VMs are never removed");
                 prop_assert!(rank(new) >= rank(&old), "{old:?} became {new:?}");
             }
         }
@@ -84,42 +87,42 @@
 
 #[test_case(Phase::Leaving; "a leaving VM that the list shows as live")]
 #[test_case(Phase::Gone; "a dead VM that the list shows as live")]
-fn a_list_that_lags_brings_nothing_back(phase: Phase) {
+fn lagging_list_does_not_revert_a_phase(phase: Phase) {
     let mut members = merged(&[member(1, 1, phase)]);
     for second in 0..30 {
-        assert!(members.take_list(&[row(1, false)], second * 1_000_000).is_empty());
+        assert!(members.apply_list(&[row(1, false)], second * 1_000_000).is_empty());
     }
     assert_eq!(members.get("vm-1").map(|known| known.phase), Some(phase));
     assert_eq!(members.servers_of("intake").count(), 0);
 }
 
 #[test]
-fn a_vm_that_only_the_list_knows_may_get_calls() {
+fn vm_that_is_only_listed_may_get_calls() {
     let mut members = Members::default();
-    members.take_list(&[row(1, false), row(2, true)], 0);
+    members.apply_list(&[row(1, false), row(2, true)], 0);
     let vms: Vec<Arc<str>> = members.servers_of("intake").map(|candidate| candidate.vm).collect();
     assert_eq!(vms, [Arc::from("vm-1")]);
 }
 
 #[test]
-fn a_new_vm_that_the_list_does_not_show_yet_is_not_gone() {
+fn new_vm_that_was_never_listed_is_not_gone() {
     let mut members = merged(&[member(1, 1, Phase::Serving)]);
     for second in 0..60 {
-        assert!(members.take_list(&[row(2, false)], second * 1_000_000).is_empty());
+        assert!(members.apply_list(&[row(2, false)], second * 1_000_000).is_empty());
     }
     assert_eq!(members.servers_of("intake").count(), 2);
 }
 
 #[test]
-fn a_vm_off_the_list_is_gone_only_when_it_is_silent_too() {
+fn delisted_vm_is_gone_only_when_it_is_unresponsive() {
     let mut members = merged(&[member(1, 1, Phase::Serving)]);
-    members.take_list(&[row(1, false)], 0);
+    members.apply_list(&[row(1, false)], 0);
     members.heard(&Arc::from("vm-1"), 1_000_000);
-    assert!(members.take_list(&[], 1_000_000 + GONE_AFTER_US - 1).is_empty());
+    assert!(members.apply_list(&[], 1_000_000 + GONE_AFTER_US - 1).is_empty());
     assert!(!members.is_over("vm-1", 1));
-    let moved = members.take_list(&[], 1_000_000 + GONE_AFTER_US);
-    assert_eq!(moved.len(), 1);
+    let advanced = members.apply_list(&[], 1_000_000 + GONE_AFTER_US);
+    assert_eq!(advanced.len(), 1);
     assert!(members.is_over("vm-1", 1));
-    assert!(members.merge(&member(1, 2, Phase::Joining)), "a later life begins anew");
+    assert!(members.merge(&member(1, 2, Phase::Joining)), "a later incarnation starts again");
     assert!(members.is_over("vm-1", 1) && !members.is_over("vm-1", 2));
 }
