--- a/valetrack/src/member/directory.rs
+++ b/valetrack/src/member/directory.rs
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Removes nodes whose entries have been missing too long, and returns their names. It must be called only while the
-    /// store is reachable.
+    /// Removes nodes whose entries have been missing too long, and returns their names. It must be called only while
+    /// the store is reachable.
     pub fn expire(&mut self, now_us: u64) -> Vec<Arc<str>> {
         let expiry_delay_us = self.expiry_delay_us();
         let expired = |entry: &Entry| entry.missing_since_us.is_some_and(|since| now_us >= since + expiry_delay_us);
--- a/valetrack/src/member/leased/keep.rs
+++ b/valetrack/src/member/leased/keep.rs
@@ -1,5 +1,5 @@
-//! Keeps this node's entry and those of its followers in the store while this node is a relay, and removes its own entry
-//! on exit.
+//! Keeps this node's entry and those of its followers in the store while this node is a relay, and removes its own
+//! entry on exit.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,8 @@
 const FOLLOWER_CHECK_MS: u64 = 500;
 
 impl Shell {
-    /// Keeps this node's entry and those of followers in the store while this node is a relay; runs as long as the node.
+    /// Keeps this node's entry and those of followers in the store while this node is a relay; runs as long as the
+    /// node.
     pub(super) async fn keep_entry(self: Rc<Self>) {
         loop {
             if !self.is_relay() {
--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -25,8 +25,8 @@
 const FOLLOW_SLACK_MS: u64 = 300;
 /// How much longer than the wait the first reply of a relay may take.
 const FIRST_SLACK_MS: u64 = 1_500;
-/// Pause before the next request after a relay replied that it is behind: the relay is about to catch up, or there may be
-/// no other one.
+/// Pause before the next request after a relay replied that it is behind: the relay is about to catch up, or there may
+/// be no other one.
 const BEHIND_PAUSE_MS: std::ops::RangeInclusive<u64> = 50..=150;
 /// Wait of the request to a relay that was behind.
 const AGAIN_WAIT_MS: u64 = 300;
@@ -106,8 +106,8 @@
         self.mark_log_stale();
     }
 
-    /// Leaves a relay that does not reply. If several relays in a row have not replied, the node reads the store once: a
-    /// change may have to be in force before the next relay replies.
+    /// Leaves a relay that does not reply. If several relays in a row have not replied, the node reads the store once:
+    /// a change may have to be in force before the next relay replies.
     async fn leave_relay_unresponsive(self: &Rc<Self>, relay: &Target) {
         self.leave_relay(relay, AvoidReason::Silent);
         let longest_us = self.parts.news_within_ms * 1_000 / 2;
--- a/valetrack/src/member/leased/resume.rs
+++ b/valetrack/src/member/leased/resume.rs
@@ -16,9 +16,9 @@
     /// Detects suspensions of the VM; runs as long as the node.
     ///
     /// Timers of the runtime use the monotonic clock, so that each is late by the length of the suspension. Without
-    /// this task, an entry whose lease has long expired would be rewritten only when its renewal is due, up to 2 s later,
-    /// and the node would wait for a reply from a relay that has already removed it. A test against the stand-ins checks
-    /// that an expired entry is stored again within 2.5 s.
+    /// this task, an entry whose lease has long expired would be rewritten only when its renewal is due, up to 2 s
+    /// later, and the node would wait for a reply from a relay that no longer serves it. A test against the
+    /// stand-ins checks that an expired entry is stored again within 2.5 s.
     pub(super) async fn watch_suspensions(self: Rc<Self>) {
         let mut watch = SuspensionWatch::from_now();
         loop {
--- a/valetrack/src/member/leased/role.rs
+++ b/valetrack/src/member/leased/role.rs
@@ -27,8 +27,8 @@
 const FOLLOWER_EXPIRY_US: u64 = 3_000_000;
 /// A surplus relay resigns after this long, since the views of nodes differ while a fleet starts.
 const SURPLUS_US: u64 = 3_000_000;
-/// A relay that the store does not answer, while it answers others, resigns after this long: well before the entries that
-/// it keeps expire.
+/// A relay that the store does not answer, while it answers others, resigns after this long: well before the entries
+/// that it keeps expire.
 const STORE_FAILURE_MAX_US: u64 = 2_000_000;
 /// How long a relay that has resigned does not become a relay again.
 const RESIGNED_US: u64 = 10_000_000;
@@ -107,8 +107,8 @@
         self.may_be_relay() && (is_first && starts_as_relay(&mut rng) || !has_relay && is_candidate(round, &mut rng))
     }
 
-    /// Draws whether this node sends a request to a relay in a round: only a few nodes do at first, since all nodes of a
-    /// starting fleet may have found the same relays.
+    /// Draws whether this node sends a request to a relay in a round: only a few nodes do at first, since all nodes of
+    /// a starting fleet may have found the same relays.
     pub(super) fn draws_follower_role(&self, round: u32, may_serve: bool) -> bool {
         if self.relay().is_none() {
             return false;
@@ -126,8 +126,8 @@
         self.log.borrow().position_of(&key).is_some()
     }
 
-    /// Draws whether this node, whose relay is behind, probes the store itself: about one of all such nodes does. A node
-    /// whose entry was never stored has a record of too few others for this draw.
+    /// Draws whether this node, whose relay is behind, probes the store itself: about one of all such nodes does. A
+    /// node whose entry was never stored has a record of too few others for this draw.
     pub(super) fn draws_store_probe(&self) -> bool {
         let members = self.parts.members.borrow();
         let followers = members.iter().filter(|member| member.phase == Phase::Serving && !member.is_relay).count();
--- a/valetrack/src/member/registrar.rs
+++ b/valetrack/src/member/registrar.rs
@@ -32,8 +32,8 @@
 pub struct Batch {
     /// The changes.
     pub changes: Vec<LeasedChange>,
-    /// The followers, in the order of the changes, each with the version of the entry that is written; none if the entry
-    /// is removed.
+    /// The followers, in the order of the changes, each with the version of the entry that is written; none if the
+    /// entry is removed.
     pub followers: Vec<(Arc<str>, Option<u64>)>,
 }
 
--- a/valetrack/src/member/relay.rs
+++ b/valetrack/src/member/relay.rs
@@ -118,7 +118,8 @@
     /// Replaces all items by those that the store held at position `at` and time `confirmed_us`.
     ///
     /// A later era supersedes an earlier one, whatever the revisions are: after a rollback the store is at a lower
-    /// revision than was read before, and a comparison by revision would drop its reads until it reaches that one again.
+    /// revision than was read before, and a comparison by revision would drop its reads until it reaches that one
+    /// again.
     pub fn read(&mut self, items: &[Item], at: Position, confirmed_us: u64) -> ApplyOutcome {
         if self.at.supersedes(at) {
             return ApplyOutcome::Outdated;
--- a/valetrack/src/member/role.rs
+++ b/valetrack/src/member/role.rs
@@ -20,8 +20,8 @@
 const START_ONE_IN: usize = GROUP_MAX / 2;
 /// One in this many waiting nodes of a starting fleet sends its first request to a given relay in the first round.
 const JOIN_ONE_IN: usize = 32;
-/// Number of relays that a failure domain may have for each one that it needs: a random draw is uneven, and the followers
-/// of a relay that resigns have to find another one.
+/// Number of relays that a failure domain may have for each one that it needs: a random draw is uneven, and the
+/// followers of a relay that resigns have to find another one.
 const SURPLUS_FACTOR: usize = 2;
 
 /// Reason why a relay is avoided.
@@ -35,8 +35,8 @@
     Full,
 }
 
-/// Returns the node that `me` follows instead of the store; none if it must follow the store itself or has no record of a
-/// node to follow. `avoided` returns why a node is avoided, if it is.
+/// Returns the node that `me` follows instead of the store; none if it must follow the store itself or has no record of
+/// a node to follow. `avoided` returns why a node is avoided, if it is.
 pub fn relay_of<'a>(
     members: &'a Members,
     me: &Member,
@@ -53,8 +53,8 @@
     let drawn = |relay: &&&Member| weight(&me.vm, &relay.vm);
     let near = relays.iter().filter(usable).filter(own).max_by_key(drawn);
     let found = near.or_else(|| relays.iter().filter(usable).max_by_key(drawn));
-    // A relay that is behind may catch up. It is behind because the store does not answer it, which would affect another
-    // relay as well.
+    // A relay that is behind may catch up. It is behind because the store does not answer it, which would affect
+    // another relay as well.
     let behind = |relay: &&&Member| avoided(&relay.vm) == Some(AvoidReason::Behind);
     let found = found.or_else(|| relays.iter().filter(behind).max_by_key(drawn));
     if found.is_none() && relays.iter().any(|relay| avoided(&relay.vm) == Some(AvoidReason::Full)) {
--- a/valetrack/src/member/state.rs
+++ b/valetrack/src/member/state.rs
@@ -13,8 +13,8 @@
 
 /// Every VM of which a node has a record.
 ///
-/// Merging is commutative, associative and idempotent, and a VM never returns to an earlier incarnation or to an earlier
-/// phase of the same incarnation.
+/// Merging is commutative, associative and idempotent, and a VM never returns to an earlier incarnation or to an
+/// earlier phase of the same incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Members {
     all: BTreeMap<Arc<str>, Member>,
--- a/valetrack/src/member/tests/other_writer.rs
+++ b/valetrack/src/member/tests/other_writer.rs
@@ -60,7 +60,11 @@
 
 proptest! {
     #[test]
-    fn directory_ignores_arbitrary_bytes(value in prop::collection::vec(any::<u8>(), 0..120), place in 0..120usize, byte in any::<u8>()) {
+    fn directory_ignores_arbitrary_bytes(
+        value in prop::collection::vec(any::<u8>(), 0..120),
+        place in 0..120usize,
+        byte in any::<u8>(),
+    ) {
         let mut directory = Directory::default();
         let mut changed = ENTRY.as_bytes().to_vec();
         let place = place % changed.len();
--- a/valetrack/src/member/tests/registrar.rs
+++ b/valetrack/src/member/tests/registrar.rs
@@ -280,8 +280,12 @@
     /// incarnations.
     #[test]
     fn store_holds_exactly_the_live_followers_after_faults(steps in prop::collection::vec(step(), 0..120)) {
-        let mut fleet =
-            Fleet { world: World::default(), relays: [Relay::new(1), Relay::new(2)], incarnations: [Some(1); 4], now_us: 0 };
+        let mut fleet = Fleet {
+            world: World::default(),
+            relays: [Relay::new(1), Relay::new(2)],
+            incarnations: [Some(1); 4],
+            now_us: 0,
+        };
         for step in &steps {
             fleet.apply(step);
         }
--- a/valetrack/src/member/tests/role.rs
+++ b/valetrack/src/member/tests/role.rs
@@ -170,8 +170,9 @@
 
 /// Simulates a fleet that starts at once, in rounds in which nodes become relays or send their first request to one.
 ///
-/// Guards against an overload of the first relays: all nodes find the same few relays at the same moment. If all of them
-/// sent a request at once, these relays would spend seconds on handshakes, and their followers would consider them dead.
+/// Guards against an overload of the first relays: all nodes find the same few relays at the same moment. If all of
+/// them sent a request at once, these relays would spend seconds on handshakes, and their followers would consider them
+/// dead.
 #[test_case(13; "a few nodes")]
 #[test_case(200; "a large domain")]
 #[test_case(984; "a large fleet")]
--- a/valetrack/src/member/tests/suspension.rs
+++ b/valetrack/src/member/tests/suspension.rs
@@ -45,7 +45,7 @@
                             keeper.lease_over();
                             prop_assert_eq!(keeper.next(now_us), EntryStep::Grant);
                             keeper.granted(LEASE, now_us);
-                            prop_assert!(matches!(keeper.next(now_us), EntryStep::Write { .. }), "the entry is rewritten");
+                            prop_assert!(matches!(keeper.next(now_us), EntryStep::Write { .. }), "rewritten");
                             keeper.wrote(keeper.wanted(), at(9));
                         }
                     }
