--- a/valetrack/src/member/leased/wake.rs
+++ b/valetrack/src/member/leased/wake.rs
@@ -37,7 +37,7 @@
             && answered.head.riding.bundle == 0
             && self.adopter.number() > 0
         {
-            log::info!("event=member.woken peer={}", peer.vm);
+            log::info!("event=member.state_sent peer={}", peer.vm);
             self.clone().send_state(peer).await;
         }
     }
