--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -245,7 +245,7 @@
             changed |= self.directory.borrow_mut().learn_from_peer(member, now);
         }
         if changed {
-            log::info!("event=member.hinted count={}", members.len());
+            log::info!("event=member.learned_from_peer count={}", members.len());
             self.publish();
         }
     }
