--- a/valetrack/src/member/leased/follow.rs
+++ b/valetrack/src/member/leased/follow.rs
@@ -130,7 +130,7 @@
         if self.store_reachable.replace(true) {
             return;
         }
-        log::info!("event=store.answers");
+        log::info!("event=store.reachable");
         self.directory.borrow_mut().on_store_reachable(now_us());
         self.keeper.borrow_mut().on_store_reachable();
         self.entry_due.notify_one();
