--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -148,7 +148,7 @@
                 true
             }
             Err(error) => {
-                log::info!("event=store.tried code={} reason=\"{error}\"", error.code());
+                log::info!("event=store.probe_failed code={} reason=\"{error}\"", error.code());
                 false
             }
         }
