--- a/valetrack/src/member/leased/rollout.rs
+++ b/valetrack/src/member/leased/rollout.rs
@@ -174,7 +174,7 @@
                 evidence.new_runs,
                 evidence.old_runs
             ),
-            Err(error) => log::warn!("event=rollout.unwritten code={} reason=\"{error}\"", error.code()),
+            Err(error) => log::warn!("event=rollout.write_failed code={} reason=\"{error}\"", error.code()),
         }
     }
 
