--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -52,7 +52,7 @@
     /// Follows a relay until it fails or this node has another one to follow.
     pub(super) async fn follow_relay(self: &Rc<Self>, relay: &Target) {
         log::info!("event=store.following relay={}", relay.vm);
-        let mut kept_us = now_us();
+        let mut stored_us = now_us();
         let mut was_behind = false;
         while self.relay().as_ref() == Some(relay) {
             let after = self.log.borrow().position();
@@ -86,8 +86,8 @@
             let now = now_us();
             if self.entry_is_stored() {
                 self.was_stored.set(true);
-                kept_us = now;
-            } else if now >= kept_us + ENTRY_WAIT_US {
+                stored_us = now;
+            } else if now >= stored_us + ENTRY_WAIT_US {
                 log::warn!("event=member.entry_not_kept relay={}", relay.vm);
                 return self.leave_relay(relay, AvoidReason::Silent);
             }
