--- a/valetrack/src/caller/answer.rs
+++ b/valetrack/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets: the server's answer, or one line with a code.
+//! Answers to callers: the server's answer, or one line with a code.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -11,21 +11,21 @@
 use crate::placement::Placed;
 use crate::placement::{Outcome, Verdict};
 
-/// Header that says whether the work ran.
+/// Header that states whether the work ran.
 pub const OUTCOME_HEADER: &str = "valetrack-outcome";
 /// Header with the numbered code.
 pub const CODE_HEADER: &str = "valetrack-code";
-/// Header with the name of the call.
+/// Header with the id of the call.
 pub const CALL_HEADER: &str = "valetrack-call";
-/// Header that says when to come back, in milliseconds; `retry-after` says it in seconds.
+/// Header with the retry delay in milliseconds; `retry-after` has it in seconds.
 pub const RETRY_HEADER: &str = "valetrack-retry-after-ms";
-/// When to come back after a code that names no time of its own, in milliseconds.
+/// Retry delay after a code that sets none of its own.
 const RETRY_MS: u32 = 500;
 
-/// Answers a caller.
+/// HTTP response to a caller.
 pub type Answer = Response<Full<Bytes>>;
 
-/// Makes the answer to a call that was placed.
+/// Builds the answer to a call that was placed.
 pub fn of_placed(placed: Placed, call_id: &str) -> Answer {
     match placed {
         Placed::Answer(head, body) => of_head(head, body, call_id),
@@ -35,21 +35,21 @@
         Placed::Verdict(Verdict::Unknown { code }) => {
             line(Outcome::Unknown, code, status_of(code, Outcome::Unknown), RETRY_MS, call_id)
         }
-        // An answer always comes with its head.
+        // Not expected: an answer of a server is placed as `Placed::Answer`, together with its head.
         Placed::Verdict(Verdict::Answer(_)) => line(Outcome::Unknown, Code::ServerFailed, 502, RETRY_MS, call_id),
     }
 }
 
-/// Makes the answer to a call that was refused by the listener.
+/// Builds the answer to a call that the listener rejected.
 pub fn of_rejection(rejection: Rejection, call_id: &str) -> Answer {
     let mut answer = line(Outcome::NotRun, rejection.code, rejection.status, 0, call_id);
     if matches!(rejection.code, Code::NoBundle | Code::Overloaded) {
-        tell_to_wait(&mut answer, RETRY_MS);
+        set_retry_headers(&mut answer, RETRY_MS);
     }
     answer
 }
 
-/// Makes the answer to a call from the head that a node sent.
+/// Builds the answer to a call from the head that a node sent.
 pub fn of_head(head: AnswerHead, body: Bytes, call_id: &str) -> Answer {
     if head.outcome != Outcome::Ran {
         let code = Code::of_number(head.code);
@@ -81,12 +81,12 @@
     put(&mut answer, CODE_HEADER, &code.to_string());
     put(&mut answer, CALL_HEADER, call_id);
     if retry_after_ms > 0 {
-        tell_to_wait(&mut answer, retry_after_ms);
+        set_retry_headers(&mut answer, retry_after_ms);
     }
     answer
 }
 
-fn tell_to_wait(answer: &mut Answer, retry_after_ms: u32) {
+fn set_retry_headers(answer: &mut Answer, retry_after_ms: u32) {
     put(answer, "retry-after", &retry_after_ms.div_ceil(1000).to_string());
     put(answer, RETRY_HEADER, &retry_after_ms.to_string());
 }
--- a/valetrack/src/caller/keyed.rs
+++ b/valetrack/src/caller/keyed.rs
@@ -1,6 +1,6 @@
-//! Calls with a key: finds the home of the key and asks it, again if need be.
+//! Keyed calls: finds the home of the key and sends it the call, repeatedly if necessary.
 //!
-//! Asking twice is safe, since the home joins presses of one key; so a broken link to a home is
+//! Submitting a call twice is safe, because the home joins submissions of one key. A broken link to a home is therefore
 //! no reason to give up before the deadline.
 
 use std::cell::RefCell;
@@ -24,117 +24,117 @@
 use crate::placement::{Placed, Verdict};
 use crate::timeline::log as events;
 
-/// Pause before the same nodes are asked again, in milliseconds.
-const AGAIN_MS: u64 = 20;
-/// A home has this much longer than the deadline for its reply, in milliseconds.
-const SLACK_MS: u64 = 50;
+/// Pause before the call is sent to the same nodes again.
+const RETRY_PAUSE_MS: u64 = 20;
+/// Time that a home has for its reply beyond the deadline.
+const REPLY_SLACK_MS: u64 = 50;
 /// Redirects that are followed before a pause.
-const MOVES_MAX: u32 = 3;
+const REDIRECTS_MAX: u32 = 3;
 
-/// What one node said of a press.
-enum Said {
+/// Result of submitting a call to one node.
+enum SubmitResult {
     /// The final answer.
     Final(Placed),
     /// Another VM is the home.
     Moved(Arc<str>),
-    /// The page is about to be handed over.
+    /// The page is about to be handed over, so the call has to be submitted again.
     Later,
-    /// Not this node, and it does not know which.
+    /// The node is not the home and has no record of the home.
     NotHome,
-    /// The node was never sent the press.
+    /// The call was not sent to the node.
     Unsent,
-    /// The press was sent and no reply came.
+    /// The call was sent and no reply arrived.
     Broken,
 }
 
-/// A page of a service.
-type PageSlot = (Arc<str>, u16);
+/// A service and the number of one of its pages.
+type ServicePage = (Arc<str>, u16);
 
-/// Finds homes and asks them.
+/// Submits keyed calls to the homes of their keys.
 pub struct KeyedRouter {
     placer: Rc<Placer>,
     members: watch::Receiver<Arc<Members>>,
-    /// Homes that answered last, by service and page.
-    homes: RefCell<HashMap<PageSlot, Arc<str>>>,
+    /// Node that answered last as the home, by service and page.
+    homes: RefCell<HashMap<ServicePage, Arc<str>>>,
 }
 
 impl KeyedRouter {
-    /// Makes a router that knows no home yet.
+    /// Creates a router without a record of any home.
     pub fn new(placer: Rc<Placer>, members: watch::Receiver<Arc<Members>>) -> Self {
         Self { placer, members, homes: Default::default() }
     }
 
-    /// Asks the home of a key until it has answered or the deadline has passed.
-    pub async fn press(&self, head: CallHead, body: Bytes) -> Placed {
+    /// Submits a call to the home of its key until the home has answered or the deadline has passed.
+    pub async fn submit(&self, head: CallHead, body: Bytes) -> Placed {
         let deadline = Moment::now() + Duration::from_millis(head.deadline_ms.into());
         let key = head.key.clone().unwrap_or_else(|| Arc::from(""));
         let page = page_of(digest(&head.service, &key));
         loop {
-            let mut again = false;
+            let mut retry = false;
             for node in self.candidates(&head.service, page) {
-                match self.ask_and_follow(node, page, &head, &body, deadline).await {
-                    Said::Final(placed) => return placed,
-                    Said::Later | Said::Broken | Said::Moved(_) => {
-                        again = true;
+                match self.submit_and_follow(node, page, &head, &body, deadline).await {
+                    SubmitResult::Final(placed) => return placed,
+                    SubmitResult::Later | SubmitResult::Broken | SubmitResult::Moved(_) => {
+                        retry = true;
                         break;
                     }
-                    Said::Unsent => again = true,
-                    Said::NotHome => {}
+                    SubmitResult::Unsent => retry = true,
+                    SubmitResult::NotHome => {}
                 }
             }
-            let next = Moment::now() + Duration::from_millis(AGAIN_MS);
-            if !again || next >= deadline {
+            let next = Moment::now() + Duration::from_millis(RETRY_PAUSE_MS);
+            if !retry || next >= deadline {
                 break;
             }
-            sleep(Duration::from_millis(AGAIN_MS)).await;
+            sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
         }
-        // The key may have run under an earlier press, so only its home could say that it did not.
+        // The key may have run in an earlier submission; only its home has the record that it did not.
         Placed::Verdict(Verdict::Unknown { code: Code::HomeUnreachable })
     }
 
-    /// Returns the nodes that may be the home, the likeliest first.
+    /// Returns the nodes that may be the home, the most likely one first.
     fn candidates(&self, service: &Arc<str>, page: u16) -> Vec<Candidate> {
         let members = self.members.borrow();
         let mut nodes: Vec<Candidate> = members.servers_of(service).collect();
         rank(service, page, &mut nodes, |node| node.vm.clone());
         let homes = self.homes.borrow();
         if let Some(home) = homes.get(&(service.clone(), page)) {
-            // The sort is stable: the others keep their rank.
+            // The sort is stable, so the others keep their rank.
             nodes.sort_by_key(|node| node.vm != *home);
         }
         nodes
     }
 
-    async fn ask_and_follow(
+    async fn submit_and_follow(
         &self,
         node: Candidate,
         page: u16,
         head: &CallHead,
         body: &Bytes,
         deadline: Moment,
-    ) -> Said {
-        let slot = (head.service.clone(), page);
+    ) -> SubmitResult {
+        let service_page = (head.service.clone(), page);
         let mut target = Target { vm: node.vm, addr: node.link_addr };
-        let mut said = Said::NotHome;
-        for _ in 0..MOVES_MAX {
-            said = self.ask(&target, head, body, deadline).await;
-            match &said {
-                Said::Moved(home) => match self.target_of(home) {
+        let mut result = SubmitResult::NotHome;
+        for _ in 0..REDIRECTS_MAX {
+            result = self.submit_once(&target, head, body, deadline).await;
+            match &result {
+                SubmitResult::Moved(home) => match self.target_of(home) {
                     Some(moved) => target = moved,
-                    None => return Said::Later,
+                    None => return SubmitResult::Later,
                 },
-                Said::Final(_) => {
-                    self.homes.borrow_mut().insert(slot, target.vm);
-                    return said;
+                SubmitResult::Final(_) => {
+                    self.homes.borrow_mut().insert(service_page, target.vm);
+                    return result;
                 }
-                Said::Unsent | Said::Broken | Said::NotHome => {
-                    self.homes.borrow_mut().remove(&slot);
-                    return said;
+                SubmitResult::Unsent | SubmitResult::Broken | SubmitResult::NotHome => {
+                    self.homes.borrow_mut().remove(&service_page);
+                    return result;
                 }
-                Said::Later => return said,
+                SubmitResult::Later => return result,
             }
         }
-        said
+        result
     }
 
     fn target_of(&self, vm: &Arc<str>) -> Option<Target> {
@@ -143,33 +143,33 @@
         Some(Target { vm: member.vm.clone(), addr: member.link_addr })
     }
 
-    async fn ask(&self, target: &Target, head: &CallHead, body: &Bytes, deadline: Moment) -> Said {
+    async fn submit_once(&self, target: &Target, head: &CallHead, body: &Bytes, deadline: Moment) -> SubmitResult {
         let left = deadline.left();
         let attempt = self.placer.next_attempt();
         let head = CallHead { attempt, deadline_ms: left.as_millis() as u32, hlc: events::stamp(), ..head.clone() };
-        let question = Question { ask: Ask::RunKeyed(head), body: body.clone() };
-        let limit = left + Duration::from_millis(SLACK_MS);
-        match self.placer.ask(target.clone(), question, limit).await {
-            LinkResult::Reply(answered) => said(attempt, *answered),
-            LinkResult::Unsent => Said::Unsent,
-            LinkResult::Broken => Said::Broken,
+        let request = Question { ask: Ask::RunKeyed(head), body: body.clone() };
+        let limit = left + Duration::from_millis(REPLY_SLACK_MS);
+        match self.placer.ask(target.clone(), request, limit).await {
+            LinkResult::Reply(answered) => result_of(attempt, *answered),
+            LinkResult::Unsent => SubmitResult::Unsent,
+            LinkResult::Broken => SubmitResult::Broken,
         }
     }
 }
 
-fn said(attempt: AttemptId, answered: Answered) -> Said {
+fn result_of(attempt: AttemptId, answered: Answered) -> SubmitResult {
     events::observe(answered.head.riding.hlc);
     match answered.head.reply {
-        Reply::Answer(head) if head.attempt == attempt => Said::Final(Placed::Answer(head, answered.body)),
-        Reply::Moved { attempt: moved, home } if moved == attempt => Said::Moved(home),
+        Reply::Answer(head) if head.attempt == attempt => SubmitResult::Final(Placed::Answer(head, answered.body)),
+        Reply::Moved { attempt: moved, home } if moved == attempt => SubmitResult::Moved(home),
         Reply::NotHome { attempt: refused, code } if refused == attempt => {
             if code == Code::Leaving.number() {
-                Said::Later
+                SubmitResult::Later
             } else {
-                Said::NotHome
+                SubmitResult::NotHome
             }
         }
-        Reply::Bounce { attempt: bounced, .. } if bounced == attempt => Said::NotHome,
-        _ => Said::Broken,
+        Reply::Bounce { attempt: declined, .. } if declined == attempt => SubmitResult::NotHome,
+        _ => SubmitResult::Broken,
     }
 }
--- a/valetrack/src/caller/mod.rs
+++ b/valetrack/src/caller/mod.rs
@@ -1,7 +1,7 @@
-//! The listener for callers over HTTP: their requests, their service, limits and ids, and whole answers.
+//! The listener for callers over HTTP: reads requests with their service, limits and ids, and returns whole answers.
 //!
-//! Contract: a caller gets the whole answer to its own request or a numbered one-line body that
-//! says whether the work ran; a call that was given up is answered at once.
+//! Contract: a caller gets the whole answer to its own request, or a one-line body with a numbered code that states
+//! whether the work ran. A call that was given up is answered immediately.
 
 mod answer;
 pub mod keyed;
--- a/valetrack/src/caller/protocol.rs
+++ b/valetrack/src/caller/protocol.rs
@@ -1,4 +1,4 @@
-//! The border to callers: how a request names its service and what an answer looks like.
+//! Interface of caller protocols: how a request names its service and how an answer is formatted.
 
 use std::sync::Arc;
 
@@ -10,39 +10,40 @@
 use crate::bundle::{Bundle, HostRoute};
 use crate::placement::Placed;
 
-/// What a request is read by.
+/// Context in which a request head is read.
 pub struct ReadContext<'a> {
     /// The bundle in force.
     pub bundle: &'a Bundle,
-    /// Makes an id for a call that brings none.
+    /// Generates an id for a call that has none.
     pub new_id: &'a dyn Fn() -> String,
-    /// Chooses the service that takes the next call of a route.
+    /// Chooses the service for the next call of a route.
     pub choose: &'a dyn Fn(&HostRoute) -> Arc<str>,
-    /// Returns whether the upstream beside this node runs calls now, so that a call without a key may be its own.
+    /// Returns whether the upstream beside this node is running calls, in which case a call without a key may come from
+    /// it.
     pub is_upstream_running: &'a dyn Fn() -> bool,
 }
 
-/// How a node speaks with its callers.
+/// Protocol between a node and its callers.
 pub trait CallerProtocol: Send + Sync {
-    /// Returns the id that a caller gave its request, so that a request is found in the log that was refused before
-    /// it could be read.
+    /// Returns the id that a caller gave its request. It identifies a request in the log that is rejected before its
+    /// head is read.
     fn call_id<'h>(&self, headers: &'h HeaderMap) -> Option<&'h str>;
 
     /// Reads the head of a request.
     ///
     /// # Errors
     ///
-    /// Returns why the request is refused.
+    /// Returns the reason for which the request is rejected.
     fn read(&self, parts: &Parts, cx: &ReadContext<'_>) -> Result<IncomingCall, Rejection>;
 
-    /// Makes the answer to a call that was placed.
+    /// Builds the answer to a call that was placed.
     fn of_placed(&self, placed: Placed, call_id: &str) -> Answer;
 
-    /// Makes the answer to a request that was refused before it was placed.
+    /// Builds the answer to a request that was rejected before it was placed.
     fn of_rejection(&self, rejection: Rejection, call_id: &str) -> Answer;
 }
 
-/// Valetrack's own words to callers.
+/// Valetrack's own caller protocol.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativeCaller;
 
--- a/valetrack/src/caller/request.rs
+++ b/valetrack/src/caller/request.rs
@@ -1,4 +1,4 @@
-//! Pure reading of a caller's request head.
+//! Parsing of a caller's request head, without I/O.
 
 use std::sync::Arc;
 
@@ -10,45 +10,46 @@
 use crate::gate::{ACCOUNT_HEADER, AttemptId, PERMILLE, Patience, REPEAT_HEADER, travelling};
 use crate::link::message::CallHead;
 
-/// Header that names the service; without it the first label of the host does.
+/// Header with the name of the service; without it, the first label of the host is the name.
 pub const SERVICE_HEADER: &str = "valetrack-service";
-/// Header with the time that is left, in milliseconds.
+/// Header with the time left until the deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "valetrack-deadline-ms";
-/// Header with the depth of nesting.
+/// Header with the nesting depth of the call.
 pub const DEPTH_HEADER: &str = "valetrack-depth";
-/// Header with the caller's key for pressing again.
+/// Header with the idempotency key of a call.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header with the key of a client account, behind `Bearer`.
+/// Header with the key of a client account, after the scheme `Bearer`.
 const AUTHORIZATION_HEADER: &str = "authorization";
-/// Longest key, in bytes.
+/// Longest idempotency key.
 const KEY_MAX_BYTES: usize = 256;
-/// Longest call id that is taken from a caller, in bytes.
+/// Longest call id that is accepted from a caller.
 const CALL_ID_MAX_BYTES: usize = 64;
-/// Largest sum of header names and values that travels, in bytes; it leaves room in a frame.
+/// Largest sum of the path and the names and values of forwarded headers; the rest of a frame is left to the other
+/// fields.
 const HEADERS_MAX_BYTES: usize = 48 * 1024;
 
-/// Why a request is refused before any server is asked.
+/// Reason for which a request is rejected before it is sent to any server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// The code.
+    /// Numbered code.
     pub code: Code,
     /// HTTP status.
     pub status: u16,
 }
 
-/// What the listener knows of a call once its head is read.
+/// A call whose head has been read.
 #[derive(Debug, Clone)]
 pub struct IncomingCall {
-    /// The head as it goes to owners; the length of its body is not known yet.
+    /// Head as it is sent to owners; the length of the body is set once the body is read.
     pub head: CallHead,
-    /// Time that its caller says it will wait, in milliseconds, if it says so and its objective counts from
-    /// its first call.
+    /// Time for which its caller will wait; none where the request does not state it, or where its objective does not
+    /// count from its first call.
     pub given_ms: Option<u32>,
     /// Whether the work may run more than once.
     pub repeatable: bool,
-    /// Largest body of the request, in bytes.
+    /// Largest body of the request.
     pub request_cap_bytes: usize,
-    /// Most upstreams that the call may run on; none where the service's own rule holds.
+    /// Most upstreams that the call may run on; none where the rule of the service applies.
     pub attempts_max: Option<u8>,
 }
 
@@ -56,11 +57,11 @@
     Rejection { code, status }
 }
 
-/// Reads the head of a request by the bundle in force.
+/// Parses the head of a request according to the bundle in force.
 ///
 /// # Errors
 ///
-/// Returns why the request is refused.
+/// Returns the reason for which the request is rejected.
 pub fn read(parts: &Parts, bundle: &Bundle, new_id: &dyn Fn() -> String) -> Result<IncomingCall, Rejection> {
     let headers = &parts.headers;
     let rule = service(parts, bundle).ok_or(reject(Code::ServiceUnknown, 404))?;
@@ -74,15 +75,15 @@
     let safe = matches!(parts.method.as_str(), "GET" | "HEAD");
     let repeatable = route.map_or(safe, |route| route.repeatable);
     let limit_ms = route.map_or(rule.deadline_ms, |route| route.deadline_ms);
-    let asked_ms = number(headers, DEADLINE_HEADER)?.unwrap_or(limit_ms.into());
+    let requested_ms = number(headers, DEADLINE_HEADER)?.unwrap_or(limit_ms.into());
     let key = text(headers, KEY_HEADER, KEY_MAX_BYTES)?;
     let is_anonymous = route.is_some_and(|route| route.is_anonymous);
     let account = account_of(headers, AUTHORIZATION_HEADER, &bundle.accounts, is_anonymous, || depth > 0)?;
-    let keeps_keys = bundle.accounts.is_empty();
-    let travels = |name: &str| !is_own(name) && (keeps_keys || name != AUTHORIZATION_HEADER);
+    let forwards_keys = bundle.accounts.is_empty();
+    let is_forwarded = |name: &str| !is_own(name) && (forwards_keys || name != AUTHORIZATION_HEADER);
     let call_id = call_id(headers)?.map_or_else(new_id, str::to_owned);
-    let travelling = travelling(headers);
-    let size: usize = travelling.iter().map(|(name, value)| name.len() + value.len()).sum();
+    let forwarded = travelling(headers);
+    let size: usize = forwarded.iter().map(|(name, value)| name.len() + value.len()).sum();
     if size + path.len() > HEADERS_MAX_BYTES {
         return Err(reject(Code::HeaderInvalid, 431));
     }
@@ -95,9 +96,9 @@
         route: Arc::from(""),
         method: parts.method.to_string(),
         path: path.to_owned(),
-        headers: travelling.into_iter().filter(|(name, _)| travels(name)).collect(),
+        headers: forwarded.into_iter().filter(|(name, _)| is_forwarded(name)).collect(),
         body_bytes: 0,
-        deadline_ms: asked_ms.min(limit_ms.into()) as u32,
+        deadline_ms: requested_ms.min(limit_ms.into()) as u32,
         objective_ms: 0,
         work_us: 0,
         elsewhere_permille: 0,
@@ -123,24 +124,24 @@
 ///
 /// # Errors
 ///
-/// Returns that it is too long or holds what no id may.
+/// Returns a rejection for an id that is empty, too long or repeated, or that contains a space or a quotation mark.
 pub fn call_id(headers: &HeaderMap) -> Result<Option<&str>, Rejection> {
     text(headers, super::CALL_HEADER, CALL_ID_MAX_BYTES)
 }
 
-/// Headers that each hop writes anew.
+/// Returns whether each hop sets this header itself.
 fn is_own(name: &str) -> bool {
     let own = [SERVICE_HEADER, DEADLINE_HEADER, DEPTH_HEADER, REPEAT_HEADER, super::CALL_HEADER, ACCOUNT_HEADER];
     own.contains(&name)
 }
 
-/// Returns the client account of a call by the key that `header` brings behind the scheme `Bearer`; none where the call
-/// needs no key: there are no accounts, its route is anonymous, or it brings none and `may_be_own`, so that an upstream
+/// Returns the client account of a call by the key in `header`, after the scheme `Bearer`; none where the call needs no
+/// key: there are no accounts, its route is anonymous, or it has no key and `may_be_own` returns that an upstream
 /// beside this node may have made it.
 ///
 /// # Errors
 ///
-/// Returns the rejection of a call that brings no key, another one than one key, or a key of nobody.
+/// Returns a rejection for a call without a key, with more than one key, or with an unknown key.
 pub fn account_of<'b>(
     headers: &HeaderMap,
     header: &str,
@@ -155,7 +156,7 @@
     account.map(Some).ok_or(reject(Code::KeyUnknown, 401))
 }
 
-/// Returns the key that a header brings behind the scheme `Bearer`; none where there is not just one.
+/// Returns the key in a header, after the scheme `Bearer`; none unless the header occurs exactly once.
 fn bearer_key<'h>(headers: &'h HeaderMap, header: &str) -> Option<&'h str> {
     let mut given = headers.get_all(header).iter();
     let value = given.next()?;
--- a/valetrack/src/caller/run.rs
+++ b/valetrack/src/caller/run.rs
@@ -1,4 +1,4 @@
-//! Shell of the caller listener: callers' connections, and placement of their calls.
+//! I/O shell of the caller listener: serves callers' connections and places their calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -33,69 +33,69 @@
 use crate::quota::run::Quotas;
 use crate::timeline::{OrNone, Quoted};
 
-/// Largest head of a request, in bytes.
+/// Largest head of a request.
 const HEAD_MAX_BYTES: usize = 64 * 1024;
-/// Most connections of callers at once; further ones are closed at once.
+/// Most concurrent connections of callers; further ones are closed immediately.
 const CONNECTIONS_MAX: usize = 10_000;
-/// Most calls that have no answer yet; further ones are refused at once.
+/// Most calls without an answer yet; further ones are rejected immediately.
 const OPEN_CALLS_MAX: usize = 2_048;
-/// What stands for the id of a refused request whose caller gave it none.
-const UNNAMED: &str = "-";
-/// When a call that a leaving node does not take may come back, in milliseconds: about as long as
-/// another node or the next life of this one takes to be found.
+/// Id of a rejected request whose caller gave it none.
+const NO_CALL_ID: &str = "-";
+/// Retry delay of a call that a leaving node does not accept: about as long as it takes callers to find another node or
+/// the next incarnation of this one.
 const LEAVING_RETRY_MS: u32 = 200;
-/// The verdict on a call that may outlast this node.
+/// Verdict on a call that may still run when this node exits.
 const LEAVING: Verdict = Verdict::NotRun { code: Code::Leaving, retry_after_ms: LEAVING_RETRY_MS };
-/// How long a quiet connection may stay when the node leaves, in milliseconds.
-const QUIET_MS: u64 = 500;
+/// Shortest time for which an idle connection stays open once the node leaves.
+const IDLE_MIN_MS: u64 = 500;
 
-/// What the caller listener is joined to.
+/// Dependencies of the caller listener.
 pub struct ListenerParts {
-    /// Calls of claims that are to be placed.
+    /// Calls of claims that have to be placed.
     pub jobs: Receiver<PlaceJob>,
-    /// How this node speaks with its callers.
+    /// Protocol between this node and its callers.
     pub protocol: Arc<dyn CallerProtocol>,
     /// Service of the upstream beside this node.
     pub service: Arc<str>,
-    /// Time that a caller has to send a head, which is also how long its connection may rest.
+    /// Time that a caller has to send a head, and for which its connection may be idle.
     pub head_limit: Duration,
-    /// Time for which callers still come after leaving has begun.
+    /// Time for which callers still connect after leaving has begun.
     pub linger: Duration,
-    /// Time from the start of leaving until calls that still run are cut off.
+    /// Time from the start of leaving until calls that still run are aborted.
     pub drain: Duration,
     /// Seed of random choices.
     pub seed: u64,
     /// Time that a caller has to send a body.
     pub body_limit: Duration,
-    /// Turns true when this node leaves.
+    /// Becomes true when this node leaves.
     pub leaving: watch::Receiver<bool>,
-    /// Turns true when the listener is to close.
+    /// Becomes true when the listener has to close.
     pub closing: watch::Receiver<bool>,
-    /// Told when no caller is connected any more after leaving has begun.
+    /// Set to true once no caller is connected any more after leaving has begun.
     pub emptied: watch::Sender<bool>,
 }
 
 struct CallerListener {
     placer: Rc<Placer>,
-    /// Calls with keys.
+    /// Router of keyed calls.
     keyed: KeyedRouter,
     quotas: Rc<Quotas>,
     parts: ListenerParts,
     connections: Cell<usize>,
-    /// Calls that have no answer yet.
+    /// Calls without an answer yet.
     open_calls: Cell<usize>,
-    /// When leaving began.
+    /// Time at which leaving began.
     left_at: Cell<Option<Moment>>,
     splits: RefCell<Splits>,
 }
 
-/// Where each split route stands in its cycle.
+/// Pickers of the routes that are split over several services.
 struct Splits {
     pickers: HashMap<Arc<str>, SplitPicker>,
     rng: fastrand::Rng,
 }
 
-/// Serves callers until told to close; must run on a local task set.
+/// Serves callers until `closing` becomes true; must run on a local task set.
 pub async fn run(
     socket: TcpListener,
     placer: Rc<Placer>,
@@ -116,41 +116,42 @@
         left_at: Cell::new(None),
         splits: RefCell::new(splits),
     });
-    let mut duties = tokio::task::JoinSet::new();
-    duties.spawn_local(listener.placer.clone().follow());
-    duties.spawn_local(listener.placer.clone().probe());
-    duties.spawn_local(listener.quotas.clone().follow());
-    duties.spawn_local(listener.clone().place_jobs());
-    duties.spawn_local(listener.clone().watch_emptied());
+    let mut tasks = tokio::task::JoinSet::new();
+    tasks.spawn_local(listener.placer.clone().follow());
+    tasks.spawn_local(listener.placer.clone().probe());
+    tasks.spawn_local(listener.quotas.clone().follow());
+    tasks.spawn_local(listener.clone().place_jobs());
+    tasks.spawn_local(listener.clone().watch_emptied());
     while let Some(accepted) = next_caller(&socket, &mut emptied, &mut closing).await {
         match accepted {
             Ok(stream) if listener.connections.get() < CONNECTIONS_MAX => {
-                // Counted before its task runs, so that the listener is not taken for empty meanwhile.
+                // The connection is counted before its task runs, so that the listener does not count as empty in
+                // between.
                 listener.connections.set(listener.connections.get() + 1);
                 tokio::task::spawn_local(listener.clone().serve(stream));
             }
             Ok(_) => listener.placer.metrics.bad_calls.inc(),
-            // Out of descriptors, say: a short pause lets some close.
+            // The process may be out of file descriptors; a short pause lets some connections close.
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
         }
     }
     drop(socket);
-    // Calls of claims are placed until the very end.
+    // Calls of claims are placed until the listener closes.
     let _ = closing.wait_for(|closing| *closing).await;
-    duties.shutdown().await;
+    tasks.shutdown().await;
 }
 
-/// Returns whether a call with this deadline, taken `since` leaving began, may still run when all
-/// that runs is cut off after `drain`.
+/// Returns whether a call with this deadline, accepted `since` after leaving began, may still run at the end of
+/// `drain`, when running calls are aborted.
 pub(super) fn outlasts(since: Duration, deadline_ms: u32, drain: Duration) -> bool {
     since + Duration::from_millis(deadline_ms.into()) > drain
 }
 
-/// Waits for the next caller; none when the listener has told that nobody is connected any more,
-/// or is to close.
+/// Waits for the next caller; none once the listener has reported that no caller is connected any more, or has to
+/// close.
 ///
-/// Whoever came between the last caller's end and the exit would be cut, so a caller that waits
-/// already is not accepted either.
+/// A connection accepted between that report and the exit would be cut off, so a caller in the accept queue is not
+/// accepted either.
 pub(super) async fn next_caller(
     socket: &TcpListener,
     emptied: &mut watch::Receiver<bool>,
@@ -204,12 +205,12 @@
         let mut leaving = self.parts.leaving.clone();
         let ended = tokio::select! {
             ended = connection.as_mut() => Some(ended),
-            () = quiet(&mut leaving, self.parts.linger) => None,
+            () = idle_limit(&mut leaving, self.parts.linger) => None,
         };
         let ended = match ended {
             Some(ended) => ended,
             None => {
-                // What is under way is finished, and the caller is told to go elsewhere.
+                // Finishes calls in progress and closes the connection, so that the caller connects to another node.
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
@@ -237,26 +238,26 @@
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Answer {
         let began = Instant::now();
         let (parts, body) = request.into_parts();
-        let named = self.parts.protocol.call_id(&parts.headers).unwrap_or(UNNAMED);
+        let given_id = self.parts.protocol.call_id(&parts.headers).unwrap_or(NO_CALL_ID);
         if self.open_calls.get() > OPEN_CALLS_MAX {
-            return self.reject(Rejection { code: Code::Overloaded, status: 503 }, named);
+            return self.reject(Rejection { code: Code::Overloaded, status: 503 }, given_id);
         }
         let in_force = self.placer.bundle.borrow().clone();
         let Some(in_force) = in_force else {
-            return self.reject(Rejection { code: Code::NoBundle, status: 503 }, named);
+            return self.reject(Rejection { code: Code::NoBundle, status: 503 }, given_id);
         };
         let (call, body) = match self.read(&parts, body, &in_force).await {
             Ok(read) => read,
             Err(rejection) => {
                 self.placer.metrics.bad_calls.inc();
-                return self.reject(rejection, named);
+                return self.reject(rejection, given_id);
             }
         };
         let IncomingCall { mut head, given_ms, repeatable, attempts_max, .. } = call;
         head.made_by_run |= self.placer.is_nested(&head.route);
         if let (Some(given_ms), false) = (given_ms, head.made_by_run) {
             let waited_ms = self.placer.waited_ms(&head.route, given_ms);
-            // One whose objective has passed still differs from one that never had any.
+            // Zero stands for a call without an objective, so one whose objective has passed keeps 1 ms.
             head.objective_ms = head.objective_ms.saturating_sub(waited_ms).max(head.objective_ms.min(1));
         }
         let call_id = head.call_id.clone();
@@ -283,7 +284,7 @@
         answer
     }
 
-    /// Returns whether a call that is taken now may still run when this node exits.
+    /// Returns whether a call that is accepted now may still run when this node exits.
     fn outlasts_exit(&self, deadline_ms: u32) -> bool {
         let left_at = self.left_at.get();
         left_at.is_some_and(|left_at| outlasts(left_at.elapsed(), deadline_ms, self.parts.drain))
@@ -293,7 +294,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why it is turned away.
+    /// Returns the reason for which it is rejected.
     async fn read(
         &self,
         parts: &Parts,
@@ -313,7 +314,7 @@
         Ok((call, body))
     }
 
-    /// Places a call, where its client account is within its rate.
+    /// Places a call if its client account is within its rate.
     async fn place_within_quota(
         &self,
         mut head: CallHead,
@@ -332,11 +333,11 @@
             head.objective_ms = head.objective_ms.saturating_sub(waited_ms).max(head.objective_ms.min(1));
         }
         let placed = match head.key {
-            Some(_) => self.keyed.press(head, body).await,
+            Some(_) => self.keyed.submit(head, body).await,
             None => self.place_on_route(head, body, repeatable, attempts_max).await,
         };
         if let (Some(account), Placed::Verdict(Verdict::NotRun { .. })) = (&account, &placed) {
-            self.quotas.give_back(account);
+            self.quotas.restore_credit(account);
         }
         placed
     }
@@ -370,7 +371,7 @@
         self.parts.protocol.of_rejection(rejection, call_id)
     }
 
-    /// Chooses the service that takes the next call of a route.
+    /// Chooses the service for the next call of a route.
     fn choose(&self, route: &HostRoute) -> Arc<str> {
         if let [only] = route.targets.as_slice() {
             return only.service.clone();
@@ -393,7 +394,7 @@
     }
 }
 
-/// Returns why a call has no answer of a server, if it has none.
+/// Returns the code of a call that has one: it failed, or it has no answer of a server.
 fn code_of_placed(placed: &Placed) -> Option<Code> {
     match placed {
         Placed::Answer(head, _) => (head.code != 0).then(|| Code::of_number(head.code)),
@@ -402,15 +403,15 @@
     }
 }
 
-/// Waits until the node leaves, and then as long as a quiet connection may stay.
-async fn quiet(leaving: &mut watch::Receiver<bool>, linger: Duration) {
+/// Waits until the node leaves, and then for as long as an idle connection stays open.
+async fn idle_limit(leaving: &mut watch::Receiver<bool>, linger: Duration) {
     if leaving.wait_for(|leaving| *leaving).await.is_err() {
         return std::future::pending().await;
     }
-    tokio::time::sleep(linger.max(Duration::from_millis(QUIET_MS))).await;
+    tokio::time::sleep(linger.max(Duration::from_millis(IDLE_MIN_MS))).await;
 }
 
-/// Counts a call as open until it is dropped, since a caller may go away in the middle.
+/// Counts a call as open until it is dropped, also when its caller disconnects before the answer.
 struct OpenCall(Rc<CallerListener>);
 
 impl OpenCall {
@@ -426,7 +427,7 @@
     }
 }
 
-/// Runs a connection's tasks on the listener's own thread.
+/// Spawns the tasks of a connection on the thread of the listener.
 #[derive(Debug, Clone, Copy)]
 struct LocalExecutor;
 
--- a/valetrack/src/quota/allowance.rs
+++ b/valetrack/src/quota/allowance.rs
@@ -1,4 +1,4 @@
-//! Pure decisions of an entry on the calls of limited accounts.
+//! Decisions of an entry on the calls of rate-limited accounts, without I/O.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,28 +8,28 @@
 use crate::bundle::{AccountRule, AccountTable};
 use crate::placement::SlidingSum;
 
-/// Time for which a credit lasts, in microseconds: what is granted and not used is lost to the account.
+/// Lifetime of a credit; one that is granted and not used in this time is lost to the account.
 const CREDIT_US: u64 = 250_000;
-/// Time over which an entry counts an account's calls to ask for as many, in microseconds.
+/// Window over which an entry counts an account's calls, to request credits for as many.
 const DEMAND_US: u64 = 1_000_000;
-/// Most credits that are asked for at once.
-const ASKED_MAX: u32 = 256;
-/// When to come back after an even share is used up, in milliseconds.
+/// Most credits in one request.
+const CREDITS_MAX: u32 = 256;
+/// Retry delay once an even share is used up.
 const SHARE_RETRY_MS: u32 = 500;
 
-/// What is to be done with a call.
+/// Next step for a call of an account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// It may go on.
+    /// The call is admitted.
     Admit,
-    /// The account's home is to be asked for credits.
-    Ask {
-        /// How many.
+    /// Credits have to be requested from the account's home.
+    Request {
+        /// Number of credits.
         calls: u32,
     },
     /// The account is over its rate.
     Refuse {
-        /// When to come back, in milliseconds.
+        /// Retry delay.
         retry_after_ms: u32,
     },
 }
@@ -38,10 +38,10 @@
 struct Allowance {
     credits: u32,
     expires_us: u64,
-    /// Until when no home is asked, since it had nothing to grant.
+    /// Time until which no credits are requested, because the home had none to grant.
     dry_until_us: u64,
     demand: SlidingSum,
-    /// What the entry admits where no home answers.
+    /// Even share, from which the entry admits calls while no home answers.
     share: TokenBucket,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Uses a credit, if there is one.
+    /// Uses a credit; returns whether there was a valid one.
     fn use_credit(&mut self, now_us: u64) -> bool {
         if self.credits == 0 || now_us >= self.expires_us {
             self.credits = 0;
@@ -67,21 +67,21 @@
     }
 }
 
-/// What one entry may admit of each limited account.
+/// Credits and even shares of one entry, by limited account.
 #[derive(Debug, Default)]
 pub struct Allowances {
     accounts: HashMap<Arc<str>, Allowance>,
-    /// Most nodes that were known at once: an even share is one of so many.
+    /// Largest number of nodes in the view so far, by which even shares are divided.
     nodes_max: u32,
 }
 
 impl Allowances {
-    /// Takes how many nodes are known.
+    /// Records the number of nodes in the view.
     pub fn set_nodes(&mut self, nodes: u32) {
         self.nodes_max = self.nodes_max.max(nodes);
     }
 
-    /// Takes a call of an account that comes at `now_us`.
+    /// Counts a call of an account that arrives at `now_us`, and returns its next step.
     pub fn begin(&mut self, rule: &AccountRule, now_us: u64) -> Step {
         let allowance = self.accounts.entry(rule.name.clone()).or_insert_with(|| Allowance::new(now_us));
         allowance.demand.add(1.0, now_us);
@@ -94,11 +94,11 @@
         }
         let per_credit = CREDIT_US as f64 / DEMAND_US as f64;
         let expected = (allowance.demand.within(now_us) * per_credit).ceil() as u32;
-        Step::Ask { calls: expected.clamp(1, ASKED_MAX) }
+        Step::Request { calls: expected.clamp(1, CREDITS_MAX) }
     }
 
-    /// Takes what the home granted for a call that waits for it.
-    pub fn granted(&mut self, account: &Arc<str>, grant: Grant, now_us: u64) -> Step {
+    /// Applies the home's grant for a call that has waited for it.
+    pub fn apply_grant(&mut self, account: &Arc<str>, grant: Grant, now_us: u64) -> Step {
         let Some(allowance) = self.accounts.get_mut(account) else {
             return Step::Admit;
         };
@@ -113,8 +113,8 @@
         Step::Refuse { retry_after_ms: grant.retry_after_ms }
     }
 
-    /// Takes that no home answered: the call goes on by the entry's even share.
-    pub fn unanswered(&mut self, rule: &AccountRule, now_us: u64) -> Step {
+    /// Admits or refuses a call by the entry's even share, because no home answered.
+    pub fn admit_by_share(&mut self, rule: &AccountRule, now_us: u64) -> Step {
         let shares = UNGRANTED_SHARE * f64::from(self.nodes_max.max(1));
         let rate_per_s = calls(rule.rate_milli_per_s) / shares;
         let burst = calls(rule.burst_milli) / shares;
@@ -128,15 +128,15 @@
         }
     }
 
-    /// Gives the credit of a call back that certainly did not start.
-    pub fn give_back(&mut self, account: &Arc<str>, now_us: u64) {
+    /// Restores the credit of a call that certainly did not start.
+    pub fn restore_credit(&mut self, account: &Arc<str>, now_us: u64) {
         if let Some(allowance) = self.accounts.get_mut(account).filter(|allowance| now_us < allowance.expires_us) {
             allowance.credits += 1;
         }
     }
 
-    /// Forgets accounts that the bundle in force no longer names.
-    pub fn retain(&mut self, known: &AccountTable) {
-        self.accounts.retain(|name, _| known.get(name).is_some());
+    /// Removes accounts that are not in `current`, the accounts of the bundle in force.
+    pub fn retain(&mut self, current: &AccountTable) {
+        self.accounts.retain(|name, _| current.get(name).is_some());
     }
 }
--- a/valetrack/src/quota/bucket.rs
+++ b/valetrack/src/quota/bucket.rs
@@ -3,7 +3,7 @@
 /// Microseconds in a second.
 const SECOND_US: f64 = 1_000_000.0;
 
-/// Lets calls through at a rate, and some at once beyond it.
+/// Admits calls at a rate, with a burst beyond it.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     rate_per_s: f64,
@@ -13,12 +13,12 @@
 }
 
 impl TokenBucket {
-    /// Makes a bucket that holds `level` calls at `now_us`.
+    /// Creates a bucket that holds `level` calls at `now_us`.
     pub fn new(rate_per_s: f64, burst: f64, level: f64, now_us: u64) -> Self {
         Self { rate_per_s, burst, level: level.min(burst), filled_us: now_us }
     }
 
-    /// Sets its rate and burst from `now_us` on; what it holds beyond a lower burst is lost.
+    /// Sets the rate and the burst from `now_us` on; tokens beyond a lower burst are dropped.
     pub fn configure(&mut self, rate_per_s: f64, burst: f64, now_us: u64) {
         self.fill(now_us);
         self.rate_per_s = rate_per_s;
@@ -26,7 +26,7 @@
         self.level = self.level.min(burst);
     }
 
-    /// Takes up to `wanted` calls out of it, whole ones only.
+    /// Removes up to `wanted` whole tokens and returns their number.
     pub fn take(&mut self, wanted: u32, now_us: u64) -> u32 {
         self.fill(now_us);
         let taken = self.level.floor().min(f64::from(wanted));
@@ -34,7 +34,8 @@
         taken as u32
     }
 
-    /// Returns in what time it holds `calls`, in microseconds; never where it has no rate.
+    /// Returns the time until the bucket holds `calls`, in microseconds; `u64::MAX` if it never does, for lack of a
+    /// rate.
     pub fn wait_us(&self, calls: f64) -> u64 {
         let lacking = (calls - self.level).max(0.0);
         if lacking > 0.0 && self.rate_per_s <= 0.0 {
--- a/valetrack/src/quota/mod.rs
+++ b/valetrack/src/quota/mod.rs
@@ -1,9 +1,9 @@
-//! Rates of client accounts over all nodes together.
+//! Rate limits of client accounts over all nodes together.
 //!
-//! Contract: each limited account has one home among the nodes, by rendezvous over the view, whose token bucket grants
-//! credits that last a fraction of a second; an entry admits a call only for a credit. Where no home answers, an entry
-//! admits by an even share of a part of the rate that homes never grant, so that with one home the sum stays within the
-//! limit, whoever is cut off from it.
+//! Contract: each limited account has one home among the nodes, chosen by rendezvous hashing over the view. The token
+//! bucket of the home grants credits that last a fraction of a second, and an entry admits a call only for a credit.
+//! Where no home answers, an entry admits calls by an even share of a part of the rate that homes never grant. As long
+//! as there is one home, the sum therefore stays within the limit, no matter which entries are cut off from it.
 
 mod allowance;
 mod bucket;
--- a/valetrack/src/quota/rank.rs
+++ b/valetrack/src/quota/rank.rs
@@ -1,4 +1,4 @@
-//! Which node is the home of an account.
+//! Ranking of the nodes that may be the home of an account.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use crate::member::{Members, Phase};
 use crate::rendezvous::weight;
 
-/// Homes that are ranked: the first, and the one that stands in for it.
+/// Nodes in a ranking: the home and its stand-in.
 const RANKED: usize = 2;
 
-/// The homes of accounts by rendezvous hashing, kept until the view of nodes changes.
+/// Homes of accounts by rendezvous hashing, cached until the view of nodes changes.
 #[derive(Debug, Default)]
 pub struct HomeRanking {
     view: Option<Arc<Members>>,
@@ -18,7 +18,7 @@
 }
 
 impl HomeRanking {
-    /// Returns the nodes that are to be asked for an account, the home first.
+    /// Returns the nodes to request an account's credits from, the home first.
     pub fn homes(&mut self, account: &Arc<str>, members: &Arc<Members>) -> &[Target] {
         if !self.view.as_ref().is_some_and(|view| Arc::ptr_eq(view, members)) {
             self.view = Some(members.clone());
--- a/valetrack/src/quota/run.rs
+++ b/valetrack/src/quota/run.rs
@@ -1,4 +1,4 @@
-//! Shell of quotas, on the thread of calls and links: asks homes for credits, and grants them.
+//! I/O shell of the quotas, on the thread of calls and links: requests credits from homes, and grants them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,48 +20,49 @@
 use crate::member::{Members, Phase};
 use crate::metric::Metrics;
 
-/// Time that a home has to answer, in milliseconds: several ways between failure domains and back on a busy machine.
-const ASK_MS: u64 = 150;
-/// Time for which a home that did not answer is passed over, in microseconds.
-const PASSED_OVER_US: u64 = 1_000_000;
+/// Time that a home has to answer: several round trips between failure domains on a busy machine.
+const REPLY_TIMEOUT_MS: u64 = 150;
+/// Time for which a home that did not answer is skipped.
+const SKIP_US: u64 = 1_000_000;
 
-/// What quotas are joined to.
+/// Dependencies of the quotas.
 pub struct QuotaParts {
     /// Name of this VM.
     pub vm: Arc<str>,
-    /// Ring to the link thread.
+    /// Channel to the link thread.
     pub to_link: Sender<LinkJob>,
     /// The bundle in force.
     pub bundle: watch::Receiver<Option<Arc<InForce>>>,
-    /// VMs.
+    /// View of the VMs.
     pub members: watch::Receiver<Arc<Members>>,
-    /// Metrics.
+    /// Metrics of the node.
     pub metrics: Arc<Metrics>,
 }
 
-/// The quotas of one node, as entry and as home.
+/// Quotas of one node, as entry and as home.
 pub struct Quotas {
     parts: QuotaParts,
     allowances: RefCell<Allowances>,
     home: RefCell<QuotaHome>,
     ranking: RefCell<HomeRanking>,
-    /// Homes that did not answer, and until when they are passed over, in microseconds.
-    passed_over: RefCell<HashMap<Arc<str>, u64>>,
+    /// Homes that did not answer, with the time until which they are skipped, in microseconds.
+    skipped: RefCell<HashMap<Arc<str>, u64>>,
 }
 
 impl Quotas {
-    /// Makes quotas that know no account yet.
+    /// Creates quotas without a record of any account.
     pub fn new(parts: QuotaParts) -> Rc<Self> {
         Rc::new(Self {
             parts,
             allowances: RefCell::default(),
             home: RefCell::default(),
             ranking: RefCell::default(),
-            passed_over: RefCell::default(),
+            skipped: RefCell::default(),
         })
     }
 
-    /// Forgets accounts that are no longer named, and follows how many nodes there are; runs as long as the node.
+    /// Removes accounts that the bundle in force no longer names, and tracks the number of nodes; runs as long as the
+    /// node.
     pub async fn follow(self: Rc<Self>) {
         let mut bundle = self.parts.bundle.clone();
         let mut members = self.parts.members.clone();
@@ -82,23 +83,23 @@
         }
     }
 
-    /// Admits a call of an account, or returns when to come back, in milliseconds.
+    /// Admits a call of an account, waiting for credits if necessary.
     ///
     /// # Errors
     ///
-    /// Returns when the account has room again, as far as is known.
+    /// Returns the estimated time until the account is below its limit again, in milliseconds.
     pub async fn admit(&self, account: &Arc<str>) -> Result<(), u32> {
         let Some(rule) = self.rule(account).filter(|rule| rule.is_limited()) else {
             return Ok(());
         };
         let step = self.allowances.borrow_mut().begin(&rule, now_us());
         let step = match step {
-            Step::Ask { calls } => self.ask_homes(&rule, calls).await,
+            Step::Request { calls } => self.request_credits(&rule, calls).await,
             Step::Admit | Step::Refuse { .. } => step,
         };
         match step {
             Step::Admit => Ok(()),
-            Step::Ask { .. } => Err(0),
+            Step::Request { .. } => Err(0),
             Step::Refuse { retry_after_ms } => {
                 self.parts.metrics.over_rate.inc();
                 Err(retry_after_ms)
@@ -106,9 +107,9 @@
         }
     }
 
-    /// Takes back what a call was admitted by, since it certainly did not start.
-    pub fn give_back(&self, account: &Arc<str>) {
-        self.allowances.borrow_mut().give_back(account, now_us());
+    /// Restores the credit of a call that certainly did not start.
+    pub fn restore_credit(&self, account: &Arc<str>) {
+        self.allowances.borrow_mut().restore_credit(account, now_us());
     }
 
     fn rule(&self, account: &str) -> Option<Arc<AccountRule>> {
@@ -116,42 +117,48 @@
         bundle.as_ref()?.bundle.accounts.get(account).cloned()
     }
 
-    /// Asks the account's home for credits, and the node that stands in for it where it does not answer.
-    async fn ask_homes(&self, rule: &AccountRule, calls: u32) -> Step {
+    /// Requests credits from the account's home, and from its stand-in if the home does not answer.
+    async fn request_credits(&self, rule: &AccountRule, calls: u32) -> Step {
         let members = self.parts.members.borrow().clone();
         let homes = self.ranking.borrow_mut().homes(&rule.name, &members).to_vec();
         let mut instead_of = None;
         for home in homes {
-            if self.is_passed_over(&home.vm) {
+            if self.is_skipped(&home.vm) {
                 instead_of = Some(home.vm);
                 continue;
             }
-            if let Some(grant) = self.ask(&home, rule, calls, instead_of.as_ref()).await {
-                return self.allowances.borrow_mut().granted(&rule.name, grant, now_us());
+            if let Some(grant) = self.request_from(&home, rule, calls, instead_of.as_ref()).await {
+                return self.allowances.borrow_mut().apply_grant(&rule.name, grant, now_us());
             }
-            self.passed_over.borrow_mut().insert(home.vm.clone(), now_us() + PASSED_OVER_US);
+            self.skipped.borrow_mut().insert(home.vm.clone(), now_us() + SKIP_US);
             instead_of = Some(home.vm);
         }
         log::info!("event=quota.unanswered account={}", rule.name);
         self.parts.metrics.quota_unanswered.inc();
-        self.allowances.borrow_mut().unanswered(rule, now_us())
+        self.allowances.borrow_mut().admit_by_share(rule, now_us())
     }
 
-    fn is_passed_over(&self, vm: &str) -> bool {
-        let mut passed_over = self.passed_over.borrow_mut();
-        passed_over.retain(|_, until_us| now_us() < *until_us);
-        passed_over.contains_key(vm)
+    fn is_skipped(&self, vm: &str) -> bool {
+        let mut skipped = self.skipped.borrow_mut();
+        skipped.retain(|_, until_us| now_us() < *until_us);
+        skipped.contains_key(vm)
     }
 
-    async fn ask(&self, home: &Target, rule: &AccountRule, calls: u32, instead_of: Option<&Arc<str>>) -> Option<Grant> {
+    async fn request_from(
+        &self,
+        home: &Target,
+        rule: &AccountRule,
+        calls: u32,
+        instead_of: Option<&Arc<str>>,
+    ) -> Option<Grant> {
         if home.vm == self.parts.vm {
             return self.grant(&rule.name, calls, instead_of).await;
         }
         self.parts.metrics.quota_questions.inc();
         let ask = Ask::Quota { account: rule.name.clone(), calls, instead_of: instead_of.cloned() };
-        let question = Question { ask, body: Bytes::new() };
-        let limit = Duration::from_millis(ASK_MS);
-        let LinkResult::Reply(answered) = peer::ask_within(&self.parts.to_link, home.clone(), question, limit).await
+        let request = Question { ask, body: Bytes::new() };
+        let limit = Duration::from_millis(REPLY_TIMEOUT_MS);
+        let LinkResult::Reply(answered) = peer::ask_within(&self.parts.to_link, home.clone(), request, limit).await
         else {
             return None;
         };
@@ -161,35 +168,35 @@
         }
     }
 
-    /// Grants credits to an entry that takes this node for the account's home; none where the account is unknown, or
-    /// the home that this node is to stand in for answers it.
+    /// Grants credits to an entry that regards this node as the account's home; none if the account is unknown, or if
+    /// `instead_of`, the home that this node would stand in for, answers this node.
     pub async fn grant(&self, account: &Arc<str>, calls: u32, instead_of: Option<&Arc<str>>) -> Option<Grant> {
         let rule = self.rule(account)?;
         if let Some(home) = instead_of
-            && self.answers(home).await
+            && self.is_responsive(home).await
         {
             return None;
         }
         Some(self.home.borrow_mut().grant(&rule, calls, steady_us()))
     }
 
-    /// Returns whether another node answers this one.
-    async fn answers(&self, vm: &Arc<str>) -> bool {
-        if self.is_passed_over(vm) {
+    /// Returns whether another node answers a request of this one.
+    async fn is_responsive(&self, vm: &Arc<str>) -> bool {
+        if self.is_skipped(vm) {
             return false;
         }
         let addr = self.parts.members.borrow().get(vm).map(|member| member.link_addr);
         let Some(addr) = addr else {
             return false;
         };
-        let question = Question { ask: Ask::Evacuation, body: Bytes::new() };
+        let request = Question { ask: Ask::Evacuation, body: Bytes::new() };
         let target = Target { vm: vm.clone(), addr };
-        let limit = Duration::from_millis(ASK_MS / 2);
-        let result = peer::ask_within(&self.parts.to_link, target, question, limit).await;
-        let answers = matches!(result, LinkResult::Reply(_));
-        if !answers {
-            self.passed_over.borrow_mut().insert(vm.clone(), now_us() + PASSED_OVER_US);
+        let limit = Duration::from_millis(REPLY_TIMEOUT_MS / 2);
+        let result = peer::ask_within(&self.parts.to_link, target, request, limit).await;
+        let is_responsive = matches!(result, LinkResult::Reply(_));
+        if !is_responsive {
+            self.skipped.borrow_mut().insert(vm.clone(), now_us() + SKIP_US);
         }
-        answers
+        is_responsive
     }
 }
--- a/valetrack/src/quota/tests.rs
+++ b/valetrack/src/quota/tests.rs
@@ -1,4 +1,4 @@
-//! Rates of client accounts, over a fleet in virtual time.
+//! Tests of the rate limits of client accounts.
 
 mod fleet;
 mod steps;
