--- a/valetrack/src/rollout/count.rs
+++ b/valetrack/src/rollout/count.rs
@@ -1,13 +1,13 @@
-//! Counts how runs of one start of an upstream end.
+//! Counts of the runs since the current start of an upstream.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::message::RouteRuns;
 
-/// A run is slow that takes this many times what its route usually takes.
+/// A run counts as slow if it takes more than this many times the usual time of its route.
 const SLOW_FACTOR: u64 = 4;
-/// Most routes that are counted apart.
+/// Most routes with counts; runs of further routes are not counted.
 const ROUTES_MAX: usize = 64;
 
 /// Runs by route, since the upstream started.
@@ -18,14 +18,14 @@
 }
 
 impl RunCounter {
-    /// Takes which start of the upstream runs calls from now on; another one begins anew.
+    /// Sets the start of the upstream that runs calls from now on; a new one resets the counts.
     pub fn set_start(&mut self, start: u64) {
         if self.start != start {
             *self = Self { start, routes: BTreeMap::new() };
         }
     }
 
-    /// Takes a run that took `ran_us` where `usual_us` is usual for its route, zero where that is unknown.
+    /// Records a run that took `ran_us`; `usual_us` is the usual time of its route, zero if unknown.
     pub fn ran(&mut self, route: &Arc<str>, healthy: bool, ran_us: u64, usual_us: u64) {
         if self.routes.len() >= ROUTES_MAX && !self.routes.contains_key(route) {
             return;
@@ -39,7 +39,7 @@
         runs.slow += u32::from(usual_us > 0 && ran_us > usual_us * SLOW_FACTOR);
     }
 
-    /// Returns what was counted.
+    /// Returns the counts by route.
     pub fn routes(&self) -> Vec<RouteRuns> {
         self.routes.values().cloned().collect()
     }
--- a/valetrack/src/rollout/decision.rs
+++ b/valetrack/src/rollout/decision.rs
@@ -1,56 +1,56 @@
-//! Pure decision of the node that carries a roll-out on.
+//! Decisions of a node that drives a roll-out, without I/O.
 
-use super::judge::{Verdict, judge};
+use super::judge::{Verdict, compare};
 use super::message::{RouteRuns, Stage};
 
-/// Part of the time of an order for which the new version is on trial, in hundredths: versions may turn bad late.
+/// Part of the time of an order for which the new version is on trial; faults of a version may show late.
 const TRIAL_PERCENT: u64 = 75;
-/// Time left at the end of an order for its calls to move, at least, in milliseconds.
-const END_MS: u64 = 3_000;
-/// Time for which all new calls go to the new version before the old one may stop, in milliseconds: nodes hear of it
-/// within a second, and what the old version runs has to end.
+/// Shortest time at the end of an order that is left for its calls to move.
+const MOVE_MIN_MS: u64 = 3_000;
+/// Time for which all new calls go to the new version before the old one may stop: nodes receive the stage within a
+/// second, and running calls of the old version have to end.
 const MOVING_MS: u64 = 1_500;
-/// Runs on trial without which nothing is known of a version.
+/// Fewest runs on trial before calls move to a version.
 const RUNS_MIN: u32 = 20;
-/// The new version bears the load with this many upstreams for a hundred of the old one.
+/// Fewest upstreams of the new version that can serve the load, in percent of those of the old version.
 const CAPACITY_PERCENT: usize = 80;
 
-/// How far a roll-out is.
+/// Progress of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
-    /// Its stage; none where it was only ordered.
+    /// Stage of the roll-out; none if it was ordered and has not started.
     pub stage: Option<Stage>,
-    /// Time since the order, in milliseconds.
+    /// Time since the order.
     pub age_ms: u64,
-    /// Time since its stage was reached, in milliseconds.
+    /// Time since the stage was reached.
     pub stage_age_ms: u64,
-    /// Time in which the calls are to have moved, in milliseconds.
+    /// Time from the order within which the calls have to move.
     pub within_ms: u64,
 }
 
-/// What is known of both versions.
+/// Observations of both versions.
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
     /// Runs of the new version by route.
     pub new_runs: Vec<RouteRuns>,
     /// Runs of the old version by route, over the same time.
     pub old_runs: Vec<RouteRuns>,
-    /// Upstreams of the new version that take work.
+    /// Upstreams of the new version that accept work.
     pub new_servers: usize,
-    /// Upstreams of the old version that take work.
+    /// Upstreams of the old version that accept work.
     pub old_servers: usize,
 }
 
-/// What is to be done.
+/// Decision on a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing yet.
+    /// The roll-out stays at its stage.
     Wait,
     /// The roll-out reaches a stage.
     Reach(Stage),
 }
 
-/// Decides on a roll-out.
+/// Decides whether a roll-out reaches another stage.
 pub fn decide(progress: Progress, evidence: &Evidence) -> Decision {
     let Some(stage) = progress.stage else {
         return Decision::Reach(Stage::Trial);
@@ -58,7 +58,7 @@
     if stage.is_final() {
         return Decision::Wait;
     }
-    if judge(&evidence.new_runs, &evidence.old_runs) == Verdict::Worse {
+    if compare(&evidence.new_runs, &evidence.old_runs) == Verdict::Worse {
         return Decision::Reach(Stage::RolledBack);
     }
     match stage {
@@ -68,10 +68,10 @@
     }
 }
 
-/// Returns whether the new version was long enough on trial and bears the load.
+/// Returns whether the new version was on trial for long enough and can serve the load.
 fn may_move(progress: Progress, evidence: &Evidence) -> bool {
-    let trial_ms = (progress.within_ms * TRIAL_PERCENT / 100).min(progress.within_ms.saturating_sub(END_MS));
+    let trial_ms = (progress.within_ms * TRIAL_PERCENT / 100).min(progress.within_ms.saturating_sub(MOVE_MIN_MS));
     let runs: u32 = evidence.new_runs.iter().map(|runs| runs.runs).sum();
-    let bears_load = evidence.new_servers * 100 >= evidence.old_servers * CAPACITY_PERCENT;
-    progress.age_ms >= trial_ms && runs >= RUNS_MIN && bears_load
+    let has_capacity = evidence.new_servers * 100 >= evidence.old_servers * CAPACITY_PERCENT;
+    progress.age_ms >= trial_ms && runs >= RUNS_MIN && has_capacity
 }
--- a/valetrack/src/rollout/judge.rs
+++ b/valetrack/src/rollout/judge.rs
@@ -1,22 +1,22 @@
-//! Whether a new version is worse than the old one: a sequential test on the same routes at the same time.
+//! Comparison of a new version with the old one: a sequential test over the same routes in the same time.
 
 use super::message::RouteRuns;
 
-/// Rate of bad runs that any version may have, at least.
+/// Lowest rate of bad runs that is assumed of a sound version.
 const BAD_MIN: f64 = 0.03;
-/// A worse version has at least this rate of bad runs.
+/// Lowest rate of bad runs of a worse version.
 const WORSE_MIN: f64 = 0.2;
-/// And at least this many times the old version's.
+/// A worse version has at least this many times the rate of bad runs of the old version.
 const WORSE_FACTOR: f64 = 4.0;
-/// Largest rate that a worse version is tested for.
+/// Highest rate of bad runs that a worse version is tested for.
 const WORSE_MAX: f64 = 0.95;
-/// Logarithm of how much likelier it must be that the new version is worse: one sound version in ten thousand is taken
-/// for worse, over each route and all together.
+/// Log-likelihood ratio above which a new version counts as worse; one sound version in ten thousand exceeds it, on
+/// each route and in total.
 const EVIDENCE_MIN: f64 = 9.2;
-/// Runs of the old version that its rate is told by; with fewer it counts as sound.
+/// Fewest runs of the old version from which its rates are estimated; with fewer, it counts as free of bad runs.
 const OLD_RUNS_MIN: u32 = 20;
 
-/// What the counts say of a new version.
+/// Result of comparing a new version with the old one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It is worse than the old version.
@@ -25,8 +25,8 @@
     NotWorse,
 }
 
-/// Judges the runs of a new version beside those of the old one, by route and over all.
-pub fn judge(new: &[RouteRuns], old: &[RouteRuns]) -> Verdict {
+/// Compares the runs of a new version with those of the old one, by route and in total.
+pub fn compare(new: &[RouteRuns], old: &[RouteRuns]) -> Verdict {
     let old_of = |route: &str| old.iter().find(|runs| &*runs.route == route).cloned().unwrap_or_default();
     let by_route = new.iter().any(|runs| is_worse(runs, &old_of(&runs.route)));
     if by_route || is_worse(&total(new), &total(old)) { Verdict::Worse } else { Verdict::NotWorse }
@@ -46,7 +46,7 @@
         || evidence(new.runs, new.slow, rate(old.slow)) > EVIDENCE_MIN
 }
 
-/// Returns how much likelier so many bad runs are where the version is worse, as a logarithm.
+/// Returns the log-likelihood ratio of a worse version to a sound one for this number of bad runs.
 fn evidence(runs: u32, bad: u32, old_rate: f64) -> f64 {
     let sound = old_rate.max(BAD_MIN);
     let worse = (sound * WORSE_FACTOR).clamp(WORSE_MIN, WORSE_MAX);
--- a/valetrack/src/rollout/message.rs
+++ b/valetrack/src/rollout/message.rs
@@ -1,44 +1,44 @@
-//! Messages of roll-outs: orders, what the store holds of them, and what owners count.
+//! Messages of roll-outs: orders, documents in the store, and run counts of owners.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the keys under which roll-outs stand, each of which ends with the name of a service.
+/// Prefix of the keys of roll-out documents, before the name of the service.
 pub const DOC_PREFIX: &str = "valetrack/rollout/";
 
-/// Returns the key of a service's roll-out.
+/// Returns the key of a service's roll-out document.
 pub fn doc_key(service: &str) -> String {
     format!("{DOC_PREFIX}{service}")
 }
 
-/// An operator's order that a service's calls move to a new version.
+/// An operator's order to move a service's calls to a new version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
     /// The service.
     pub service: Arc<str>,
     /// The new version.
     pub version: Arc<str>,
-    /// Time in which they are to have moved, in milliseconds.
+    /// Time within which the calls have to move.
     pub within_ms: u64,
 }
 
-/// How far a roll-out has come.
+/// Stage of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
     /// The new version gets a small share of the calls.
     Trial,
-    /// It gets all new calls, and the old one ends what it runs.
+    /// The new version gets all new calls, and the old one finishes its running calls.
     Moving,
-    /// It has replaced the old version.
+    /// The new version has replaced the old one.
     Completed,
-    /// It was found worse than the old version and gets nothing.
+    /// The new version was found worse than the old one and gets no calls.
     RolledBack,
 }
 
 impl Stage {
-    /// Returns what operators are told of it.
+    /// Returns the state that operators see at this stage.
     pub const fn state(self) -> RolloutState {
         match self {
             Self::Trial | Self::Moving => RolloutState::Running,
@@ -47,16 +47,16 @@
         }
     }
 
-    /// Returns whether nothing more comes of the order.
+    /// Returns whether no other stage follows.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 }
 
-/// What operators are told of a roll-out.
+/// State of a roll-out that operators see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutState {
-    /// It goes on.
+    /// The roll-out is in progress.
     Running,
     /// The new version has replaced the old one.
     Completed,
@@ -69,25 +69,25 @@
 pub struct RolloutDoc {
     /// The new version.
     pub version: Arc<str>,
-    /// Revision of the order that it is of.
+    /// Revision of the order that the document belongs to.
     pub order: u64,
-    /// How far it has come.
+    /// Stage of the roll-out.
     pub stage: Stage,
 }
 
-/// How operators write their orders and read what comes of them.
+/// Format in which operators write their orders and read the status of roll-outs.
 pub trait RolloutFormat: Send + Sync {
-    /// Returns the service that a key orders a roll-out of, if it is such a key.
+    /// Returns the service whose roll-out is ordered at a key, if it is the key of an order.
     fn ordered_service<'k>(&self, key: &'k str) -> Option<&'k str>;
 
-    /// Reads an order.
+    /// Parses an order.
     ///
     /// # Errors
     ///
-    /// Returns why it cannot be read.
+    /// Returns the reason for which the order cannot be parsed.
     fn read_order(&self, service: &str, value: &[u8]) -> Result<RolloutOrder, String>;
 
-    /// Returns the key and the value that tell operators of a roll-out.
+    /// Returns the key and the value that show operators the state of a roll-out.
     fn status(&self, order: &RolloutOrder, state: RolloutState) -> (String, Vec<u8>);
 }
 
@@ -98,9 +98,9 @@
     pub route: Arc<str>,
     /// Runs.
     pub runs: u32,
-    /// Those that failed.
+    /// Runs that failed.
     pub failed: u32,
-    /// Those that took several times as long as usual.
+    /// Runs that took several times as long as usual.
     pub slow: u32,
 }
 
@@ -113,14 +113,14 @@
     }
 }
 
-/// What an upstream may get while its service is rolled out.
+/// Traffic share of an upstream during a roll-out of its service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ServerPart {
     /// Calls as usual.
     #[default]
     Usual,
-    /// The share of the new version.
+    /// The small share of the new version on trial.
     Trial,
-    /// Nothing.
+    /// No calls.
     Barred,
 }
--- a/valetrack/src/rollout/mod.rs
+++ b/valetrack/src/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Roll-outs: a service's calls move to a new version of its upstreams, or turn back.
+//! Roll-outs: a service's calls move to a new version of its upstreams, or are rolled back.
 //!
-//! Contract: until the new version is found sound it gets a small share of the calls, at as many of its upstreams as
-//! that share loads as usual; one that fails or is slow beside the old version, on any route, gets none from then on;
-//! the old version's upstreams get nothing new before the roll-out is told to be completed. Every node goes by what the
-//! store says, so that all have the same share and the same upstreams.
+//! Contract: until the new version is found sound, it gets a small share of the calls, at as many of its upstreams as
+//! that share loads as usual. A version that fails or is slow compared with the old one, on any route, gets no calls
+//! from then on. A roll-out is reported as completed only after the old version's upstreams have stopped receiving new
+//! calls. Every node acts on the documents in the store, so that all nodes apply the same share to the same upstreams.
 
 mod book;
 mod count;
@@ -17,7 +17,7 @@
 pub use book::{RolloutBook, RolloutStage, RolloutView};
 pub use count::RunCounter;
 pub use decision::{Decision, Evidence, Progress, decide};
-pub use judge::{Verdict, judge};
+pub use judge::{Verdict, compare};
 pub use message::{
     DOC_PREFIX, RolloutDoc, RolloutFormat, RolloutOrder, RolloutState, RouteRuns, ServerPart, Stage, doc_key,
 };
