--- a/valetrack/src/bundle/account.rs
+++ b/valetrack/src/bundle/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: their keys, ranks and rates.
+//! Client accounts: keys, priorities and rates.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,27 +9,27 @@
 /// Bytes of a key's digest.
 const DIGEST_BYTES: usize = 32;
 
-/// What a client account may send.
+/// Priority and limits of a client account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct AccountRule {
-    /// Name of the account, as upstreams are told.
+    /// Name of the account, which is sent to upstreams.
     pub name: Arc<str>,
-    /// Rank of its calls, which goes before that of their route; none where the route's holds.
+    /// Priority of its calls, which overrides that of their route; none if the route's applies.
     pub priority: Option<u8>,
     /// Calls a second over all nodes together, in thousandths; zero for no limit.
     pub rate_milli_per_s: u64,
-    /// Calls that it may send at once beyond that, in thousandths.
+    /// Calls that it may send at once beyond the rate, in thousandths.
     pub burst_milli: u64,
 }
 
 impl AccountRule {
-    /// Returns whether its calls are counted.
+    /// Returns whether the account has a rate limit.
     pub const fn is_limited(&self) -> bool {
         self.rate_milli_per_s > 0
     }
 }
 
-/// Why an account cannot be taken into a table.
+/// Reason for which an account cannot be added to a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AccountFault {
     /// Another account has this name.
@@ -39,7 +39,7 @@
 }
 
 impl AccountFault {
-    /// Returns what whoever wrote the account is told.
+    /// Returns the message for the author of the bundle.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NameTaken => "another account has this name",
@@ -50,8 +50,8 @@
 
 /// All client accounts of a bundle.
 ///
-/// Keys are looked up by their digests: neither a lookup nor a comparison takes a time that tells how much of a guess
-/// was right, and the table holds no key.
+/// Keys are looked up by their digests, so that the time of a lookup or a comparison does not reveal how much of a
+/// guessed key was right, and the table holds no key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct AccountTable {
     accounts: HashMap<Arc<str>, Arc<AccountRule>>,
@@ -65,11 +65,11 @@
         self.accounts.is_empty()
     }
 
-    /// Adds an account with its keys; one without keys stands there and lets nobody in.
+    /// Adds an account with its keys; an account without keys is listed and admits no calls.
     ///
     /// # Errors
     ///
-    /// Returns what it has in common with another account; nothing is added then.
+    /// Returns the conflict with another account; nothing is added then.
     pub fn add<'k>(&mut self, rule: AccountRule, keys: impl IntoIterator<Item = &'k str>) -> Result<(), AccountFault> {
         if self.accounts.contains_key(&rule.name) {
             return Err(AccountFault::NameTaken);
--- a/valetrack/src/bundle/adopt.rs
+++ b/valetrack/src/bundle/adopt.rs
@@ -1,4 +1,4 @@
-//! Puts bundles in force at one node, wherever their text comes from.
+//! Adoption of bundles at one node, from the store and from other nodes.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::code::Code;
 use crate::metric::Metrics;
 
-/// Adopts bundles, forward only, and tells the other duties of the node.
+/// Adopts bundles with increasing numbers and notifies the other tasks of the node.
 pub struct Adopter {
     adoption: RefCell<Adoption>,
     format: Arc<dyn BundleFormat>,
@@ -21,7 +21,7 @@
 }
 
 impl Adopter {
-    /// Makes an adopter that has no bundle yet.
+    /// Creates an adopter without a bundle.
     pub fn new(
         format: Arc<dyn BundleFormat>,
         in_force: watch::Sender<Option<Arc<InForce>>>,
@@ -30,7 +30,7 @@
         Self { adoption: RefCell::new(Adoption::default()), format, in_force, metrics }
     }
 
-    /// Returns the number of the bundle in force; zero when there is none.
+    /// Returns the number of the bundle in force; zero if there is none.
     pub fn number(&self) -> u64 {
         self.adoption.borrow().number()
     }
@@ -40,19 +40,19 @@
         self.adoption.borrow().current().cloned()
     }
 
-    /// Returns whether a bundle of this number is later than the one in force.
+    /// Records that a bundle of this number was published; returns whether it is later than the one in force.
     pub fn wants(&self, number: u64) -> bool {
-        number > self.number() && self.adoption.borrow_mut().hear(number)
+        number > self.number() && self.adoption.borrow_mut().record_published(number)
     }
 
-    /// Returns a receiver that is told of every bundle that comes in force.
+    /// Returns a receiver that is notified of every bundle that comes into force.
     pub fn subscribe(&self) -> watch::Receiver<Option<Arc<InForce>>> {
         let mut receiver = self.in_force.subscribe();
         receiver.mark_unchanged();
         receiver
     }
 
-    /// Takes the bundle of another node, if it is sound and later.
+    /// Adopts the bundle of another node if it is valid and later.
     pub fn take_from_peer(&self, number: u64, version: &str, text: &Bytes) {
         match std::str::from_utf8(text) {
             Ok(text) => self.offer(number, version, text, "peer"),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes a bundle of which `version` is the hash, if it is sound and later.
+    /// Adopts a bundle if its text has the hash `version` and it is valid and later.
     pub fn offer(&self, number: u64, version: &str, text: &str, from: &str) {
         if number <= self.number() {
             return;
@@ -72,7 +72,7 @@
         let bundle = match self.format.parse(text) {
             Ok(bundle) => bundle,
             Err(faults) => {
-                // It was written by a later release, say; the one in force stays.
+                // A later release may have written it; the bundle in force stays.
                 let first = faults.first().map(ToString::to_string).unwrap_or_default();
                 log::error!("event=bundle.refused number={number} faults={} first=\"{first}\"", faults.len());
                 return;
--- a/valetrack/src/bundle/check.rs
+++ b/valetrack/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Checks the text of a bundle and tells all its faults at once.
+//! Checks the text of a bundle and reports all its faults at once.
 
 use toml::de::DeTable;
 
@@ -9,26 +9,26 @@
 use crate::code::Code;
 use crate::gate::ColdRule;
 
-/// Largest text, in bytes: a value of the store holds a megabyte.
+/// Largest text; a value of the store holds a megabyte.
 pub const TEXT_MAX_BYTES: usize = 900_000;
 /// Most services of one bundle.
 const SERVICES_MAX: usize = 4_096;
 /// Largest rate and burst of a client account, in calls.
 const RATE_MAX: u64 = 1_000_000_000;
-/// Stands for the rank of an account that names none.
+/// Placeholder for the priority of an account that sets none.
 const PRIORITY_NONE: u64 = u64::MAX;
-/// Longest time limit of a call, in milliseconds.
+/// Longest time limit of a call.
 const DEADLINE_MAX_MS: u64 = 60_000;
 
-/// Checks a text.
+/// Checks the text of a bundle.
 ///
 /// # Errors
 ///
-/// Returns every fault that was found, in the order of lines; at least one.
+/// Returns every fault that was found, ordered by line; at least one.
 pub fn check(text: &str) -> Result<Bundle, Vec<Fault>> {
     let mut reader = Reader::new(text);
     if text.len() > TEXT_MAX_BYTES {
-        reader.fault(Code::BundleValueInvalid, &(0..0), format!("the text is over {TEXT_MAX_BYTES} bytes"));
+        reader.fault(Code::BundleValueInvalid, &(0..0), format!("the text is larger than {TEXT_MAX_BYTES} bytes"));
         return Err(reader.faults);
     }
     let (root, errors) = DeTable::parse_recoverable(text);
@@ -79,8 +79,8 @@
         let Some(service) = read_service(reader, &mut section) else {
             continue;
         };
-        if services.iter().any(|known| known.name == service.name) {
-            let text = format!("service {} stands twice", service.name);
+        if services.iter().any(|other| other.name == service.name) {
+            let text = format!("service {} is defined twice", service.name);
             reader.fault(Code::BundleValueInvalid, section.span(), text);
         }
         services.push(service);
@@ -89,8 +89,8 @@
 }
 
 fn read_service(reader: &mut Reader<'_>, section: &mut Section<'_, '_>) -> Option<ServiceRule> {
-    let right = "a name of a-z, 0-9 and -, up to 63 characters";
-    let name = reader.text(section, "name", right, is_name);
+    let expected = "a name of a-z, 0-9 and -, up to 63 characters";
+    let name = reader.text(section, "name", expected, is_name);
     let name = reader.require(section, "name", name);
     let slots = reader.number(section, "slots", 1..=10_000, 8) as u16;
     let deadline_ms = reader.number(section, "deadline_ms", 1..=DEADLINE_MAX_MS, 2_000) as u32;
@@ -177,10 +177,10 @@
 }
 
 fn read_account(reader: &mut Reader<'_>, section: &mut Section<'_, '_>, accounts: &mut AccountTable) {
-    let right = "a name of a-z, 0-9 and -, up to 63 characters";
-    let name = reader.text(section, "name", right, is_name);
+    let expected = "a name of a-z, 0-9 and -, up to 63 characters";
+    let name = reader.text(section, "name", expected, is_name);
     let name = reader.require(section, "name", name);
-    let keys = reader.texts(section, "keys", "texts of 16 to 256 visible characters each", is_key);
+    let keys = reader.texts(section, "keys", "a list of strings of 16 to 256 visible characters", is_key);
     let keys = reader.require(section, "keys", keys);
     let priority = reader.number(section, "priority", 0..=255, PRIORITY_NONE);
     let rate_per_s = reader.number(section, "rate_per_s", 0..=RATE_MAX, 0);
--- a/valetrack/src/bundle/format.rs
+++ b/valetrack/src/bundle/format.rs
@@ -1,22 +1,22 @@
-//! The border of a bundle's text: which language it is written in.
+//! Format of the text of a bundle.
 
 use super::check::check;
 use super::message::{Bundle, Fault};
 
-/// Reads the text of a bundle.
+/// Format in which the text of a bundle is written.
 pub trait BundleFormat: Send + Sync {
-    /// Reads and checks a text.
+    /// Parses and checks a text.
     ///
     /// # Errors
     ///
     /// Returns every fault that was found; at least one.
     fn parse(&self, text: &str) -> Result<Bundle, Vec<Fault>>;
 
-    /// Returns the number that the text itself carries, if it carries one.
+    /// Returns the number that the text itself contains, if it contains one.
     fn number(&self, text: &str) -> Option<u64>;
 }
 
-/// Valetrack's own bundles, in TOML.
+/// Valetrack's own format, TOML.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TomlFormat;
 
@@ -26,7 +26,7 @@
     }
 
     fn number(&self, _text: &str) -> Option<u64> {
-        // The roll of a bundle gives it its number.
+        // Publishing a bundle assigns its number.
         None
     }
 }
--- a/valetrack/src/bundle/message.rs
+++ b/valetrack/src/bundle/message.rs
@@ -1,4 +1,4 @@
-//! What a bundle says, once it is checked, and the documents of the store.
+//! Contents of a checked bundle, and the documents in the store.
 
 use std::sync::Arc;
 
@@ -12,28 +12,28 @@
 use crate::member::Evacuation;
 use crate::store::HistoryName;
 
-/// Budget of one node for all that it does only to measure.
+/// Budget of one node for traffic that serves measurement only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct MeasureRule {
-    /// Bytes a second, over all links, that exist only for measuring.
+    /// Bytes a second, over all links, that serve measurement only.
     pub bytes_per_s: u32,
     /// Probes a second.
     pub probes_per_s: u32,
-    /// Age at which a view of load is probed again, in milliseconds.
+    /// Age at which a view of load is refreshed by a probe.
     pub stale_ms: u32,
 }
 
-/// How claims of a service are kept while the store is away.
+/// Storage of a service's claims while the store is unreachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ClaimMode {
-    /// A claim is in the store before the work runs.
+    /// A claim is written to the store before the work runs.
     Durable,
-    /// While the store is away, work runs on claims in memory.
+    /// While the store is unreachable, work runs on claims in memory.
     Held,
 }
 
-/// How one route of a service is treated.
+/// Rule of one route of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RouteRule {
     /// HTTP method; none for any.
@@ -42,69 +42,67 @@
     pub path: Arc<str>,
     /// Whether the work may run more than once.
     pub repeatable: bool,
-    /// Time limit of a call, in milliseconds.
+    /// Time limit of a call.
     pub deadline_ms: u32,
     /// Whether its calls need no key of a client account.
     pub is_anonymous: bool,
 }
 
-/// What all nodes together may retry of one service beyond its share of calls.
+/// Retries of one service that all nodes together may make beyond its share of calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct FleetRetries {
     /// Retries in any window.
     pub reserve: u32,
-    /// Length of the windows, in milliseconds.
+    /// Length of the windows.
     pub window_ms: u32,
 }
 
-/// How one service is treated.
+/// Rule of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ServiceRule {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Calls that one of its servers runs at once.
+    /// Calls that one of its servers runs concurrently.
     pub slots: u16,
-    /// Whether waiting calls are given back when running ones make no progress; it takes runs of
-    /// like length for granted.
+    /// Whether queued calls are declined when running ones make no progress; this assumes runs of similar length.
     pub stall_rescue: bool,
-    /// Whether slots are left free where a full server is slower than one with some free.
+    /// Whether slots are left free if a server with all slots in use is slower than one with some free.
     pub learn_limit: bool,
     /// Connections to one of its servers.
     pub connections: u16,
-    /// Longest wait for a slot, in milliseconds.
+    /// Longest wait for a slot.
     pub queue_ms: u32,
-    /// Time over which a cold server gets all its slots, in milliseconds.
+    /// Time over which a cold server gets all its slots.
     pub ramp_ms: u32,
-    /// What a cold server bears.
+    /// Load that a cold server can serve.
     pub cold: ColdRule,
-    /// Time limit of a call whose route sets none, in milliseconds.
+    /// Time limit of a call whose route sets none.
     pub deadline_ms: u32,
-    /// Largest body of a call, in bytes.
+    /// Largest body of a call.
     pub request_cap_bytes: u32,
-    /// Largest body of an answer, in bytes.
+    /// Largest body of an answer.
     pub answer_cap_bytes: u32,
-    /// Path of the upstream's health check; none where it has none.
+    /// Path of the upstream's health check; none if it has none.
     pub health_path: Option<Arc<str>>,
     /// Deepest nesting of calls.
     pub depth_max: u8,
-    /// How often owners may give one call back.
+    /// How often owners may decline one call.
     pub bounces: u8,
-    /// How often repeatable work is tried again.
+    /// How often repeatable work is retried.
     pub retries: u8,
     /// Retries per hundred calls.
     pub retry_percent: u32,
-    /// Retries that all nodes together may make beyond that share; none where each node has a fixed
-    /// burst of its own.
+    /// Retries that all nodes together may make beyond that share; none if each node has a fixed burst of its own.
     pub fleet_retries: Option<FleetRetries>,
-    /// Hedges per hundred calls; zero turns them off.
+    /// Hedges per hundred calls; zero disables hedging.
     pub hedge_percent: u32,
-    /// Delay before a hedge, in hundredths of the usual service time.
+    /// Delay before a hedge, relative to the usual service time.
     pub hedge_after_percent: u32,
-    /// How claims are kept.
+    /// Storage of claims while the store is unreachable.
     pub claims: ClaimMode,
-    /// How long a key is remembered, in seconds.
+    /// Time for which a key is remembered.
     pub key_lifetime_s: u32,
-    /// Routes, the longest matching prefix first.
+    /// Routes; the one with the longest matching prefix applies.
     pub routes: Vec<RouteRule>,
 }
 
@@ -118,16 +116,16 @@
     }
 }
 
-/// Limits on what a caller may send and how long it may rest.
+/// Limits on the size and duration of callers' requests and on idle connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct CallerLimits {
-    /// Largest request head, in bytes.
+    /// Largest request head.
     pub head_max_bytes: u32,
-    /// Largest request body, in bytes.
+    /// Largest request body.
     pub body_max_bytes: u32,
-    /// Longest time for a request head to arrive, in milliseconds.
+    /// Longest time for a request head to arrive.
     pub head_timeout_ms: u32,
-    /// Longest rest of a kept connection, in milliseconds.
+    /// Longest idle time of a connection.
     pub idle_timeout_ms: u32,
 }
 
@@ -138,11 +136,11 @@
     pub measure: MeasureRule,
     /// Services.
     pub services: Vec<ServiceRule>,
-    /// Routes by host and path prefix; empty where calls name their service themselves.
+    /// Routes by host and path prefix; empty if calls name their service themselves.
     pub routes: RouteTable,
-    /// Client accounts; none where calls need no key.
+    /// Client accounts; none if calls need no key.
     pub accounts: AccountTable,
-    /// Limits on callers; none where the node's own settings hold.
+    /// Limits on callers; none if the node's own settings apply.
     pub caller_limits: Option<CallerLimits>,
 }
 
@@ -156,17 +154,17 @@
 /// A bundle in force, with its number and its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InForce {
-    /// Count of rolls up to this one.
+    /// Number of the bundle, which increases with each publication.
     pub number: u64,
     /// Hash of the text.
     pub version: Arc<str>,
-    /// The text as it was written.
+    /// The text as its author wrote it.
     pub text: Arc<str>,
-    /// What it says.
+    /// Checked content of the text.
     pub bundle: Bundle,
 }
 
-/// Hex digits of a version.
+/// Number of hex digits in a version.
 pub const VERSION_DIGITS: usize = 32;
 
 /// Returns the version of a bundle's text: the first half of its SHA-256, in hex.
@@ -184,12 +182,12 @@
     pub line: usize,
     /// Column, from 1.
     pub column: usize,
-    /// What is wrong, and what would be right.
+    /// Description of the fault and of the expected value.
     pub text: String,
 }
 
 impl Fault {
-    /// Makes a fault with its code.
+    /// Creates a fault with its code.
     pub fn new(code: Code, line: usize, column: usize, text: String) -> Self {
         Self { code: code.number(), line, column, text }
     }
@@ -204,9 +202,9 @@
 /// The store's document of a written bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WrittenDoc {
-    /// Who wrote it.
+    /// Name of the author.
     pub author: String,
-    /// When, in milliseconds since 1970.
+    /// Time of writing, in milliseconds since 1970.
     pub written_ms: u64,
     /// The text.
     pub text: String,
@@ -215,40 +213,40 @@
 /// The store's document of an approval.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApprovedDoc {
-    /// Who approved it.
+    /// Name of the approving operator.
     pub approver: String,
-    /// When, in milliseconds since 1970.
+    /// Time of approval, in milliseconds since 1970.
     pub approved_ms: u64,
 }
 
 /// The store's document of the bundle in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CurrentDoc {
-    /// Count of rolls up to this one.
+    /// Number of the bundle, which increases with each publication.
     pub number: u64,
     /// Version of the bundle.
     pub version: String,
-    /// Who rolled it.
+    /// Name of the publishing operator.
     pub operator: String,
-    /// When, in milliseconds since 1970.
+    /// Time of publication, in milliseconds since 1970.
     pub rolled_ms: u64,
-    /// Versions rolled before, newest first, up to [`HISTORY_MAX`].
-    pub before: Vec<RolledDoc>,
-    /// Failure domains whose servers are to get nothing.
+    /// Earlier publications, newest first, up to [`HISTORY_MAX`].
+    pub before: Vec<PublishedDoc>,
+    /// Failure domains whose servers get no calls.
     #[serde(default)]
     pub evacuation: Evacuation,
-    /// What the store called its history as the document was written; another name shows that it was restored.
+    /// Name of the store's history when the document was written; a different one shows that the store was restored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub history: Option<HistoryName>,
-    /// Whether a node has written the roll again that the store had lost.
+    /// Whether a node has written this publication again after the store had lost it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub restored: bool,
 }
 
 impl CurrentDoc {
-    /// Returns the roll that it is of.
-    pub fn rolled(&self) -> RolledDoc {
-        RolledDoc {
+    /// Returns the publication that the document describes.
+    pub fn published(&self) -> PublishedDoc {
+        PublishedDoc {
             number: self.number,
             version: self.version.clone(),
             operator: self.operator.clone(),
@@ -256,26 +254,26 @@
         }
     }
 
-    /// Returns whether it says the same as another one.
-    pub fn is_like(&self, other: &Self) -> bool {
-        self.rolled() == other.rolled() && self.evacuation == other.evacuation
+    /// Returns whether it has the same publication and evacuation as another one.
+    pub fn is_equivalent(&self, other: &Self) -> bool {
+        self.published() == other.published() && self.evacuation == other.evacuation
     }
 }
 
-/// One earlier roll.
+/// One earlier publication of a bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolledDoc {
-    /// Its number.
+pub struct PublishedDoc {
+    /// Number of the bundle.
     pub number: u64,
-    /// Its version.
+    /// Version of the bundle.
     pub version: String,
-    /// Who rolled it.
+    /// Name of the publishing operator.
     pub operator: String,
-    /// When, in milliseconds since 1970.
+    /// Time of publication, in milliseconds since 1970.
     pub rolled_ms: u64,
 }
 
-/// Earlier rolls that are kept.
+/// Earlier publications that are kept.
 pub const HISTORY_MAX: usize = 50;
 /// Key of the bundle in force.
 pub const CURRENT_KEY: &str = "/valetrack/bundle/current";
--- a/valetrack/src/bundle/mod.rs
+++ b/valetrack/src/bundle/mod.rs
@@ -1,8 +1,8 @@
-//! Bundles of configuration: write, check, approve, roll; adopt; spread.
+//! Bundles of configuration: operators write, approve and publish them; nodes adopt them and spread them to each other.
 //!
-//! Contract: a bundle with a fault is never written; one operator's word is not enough; of two
-//! operators who roll at once, one wins and the other is told by whom; a node's bundle only goes
-//! forward.
+//! Contract: a bundle with a fault is never written. A second operator has to approve a bundle. If two operators
+//! publish concurrently, one wins, and the other gets an error with the name of the winner. The number of a node's
+//! bundle never decreases.
 
 mod account;
 mod adopt;
@@ -23,7 +23,7 @@
 pub use check::{TEXT_MAX_BYTES, check};
 pub use format::{BundleFormat, TomlFormat};
 pub use message::{
-    Bundle, CURRENT_KEY, CallerLimits, ClaimMode, CurrentDoc, Fault, FleetRetries, InForce, MeasureRule, RolledDoc,
+    Bundle, CURRENT_KEY, CallerLimits, ClaimMode, CurrentDoc, Fault, FleetRetries, InForce, MeasureRule, PublishedDoc,
     RouteRule, ServiceRule, VERSION_DIGITS, version_of,
 };
 pub use route::{HostRoute, RouteTable, SplitPicker, SplitTarget};
--- a/valetrack/src/bundle/operator.rs
+++ b/valetrack/src/bundle/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do: write, approve, roll; each safe against a race and a lost answer.
+//! Operators' commands: write, approve, publish. Each is safe against races and lost answers.
 
 use std::sync::Arc;
 
@@ -6,75 +6,76 @@
 
 use super::check::check;
 use super::message::{
-    ApprovedDoc, CURRENT_KEY, CurrentDoc, Fault, HISTORY_MAX, RolledDoc, WrittenDoc, approval_key, text_key, version_of,
+    ApprovedDoc, CURRENT_KEY, CurrentDoc, Fault, HISTORY_MAX, PublishedDoc, WrittenDoc, approval_key, text_key,
+    version_of,
 };
 use crate::clock::wall_us;
 use crate::code::Code;
 use crate::member::Evacuation;
 use crate::store::{Found, Position, Store, StoreError, Written};
 
-/// Rolls that a copy may lack at the most: those of some 47 days at 21,000 a day.
-const LOST_ROLLS_MAX: u64 = 1_000_000;
+/// Most publications that a copy of the store may lack: those of some 47 days at 21,000 a day.
+const LOST_PUBLICATIONS_MAX: u64 = 1_000_000;
 /// Author of a text that a node has written again, in place of an operator's name.
 const RESTORED_AUTHOR: &str = "(restored by a node)";
-/// How often a write whose answer was lost is read back and tried again.
+/// How often a write whose answer was lost is read back and retried.
 const TRIES: usize = 5;
 
-/// How an operator's command may fail.
+/// Failure of an operator's command.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// The text has faults, so nothing was written.
+    /// The text has faults, so it was not written.
     #[snafu(display("the bundle has {} faults and was not written", faults.len()))]
     Faulty {
-        /// All of them.
+        /// All faults of the text.
         faults: Vec<Fault>,
     },
     /// No bundle of this version was written.
-    #[snafu(display("no bundle {version} was written"))]
+    #[snafu(display("no bundle of version {version} was written"))]
     NotFound {
         /// The version.
         version: String,
     },
-    /// The stored text is not what its version says.
-    #[snafu(display("the stored text of {version} does not match it"))]
+    /// The stored text does not match its version.
+    #[snafu(display("the stored text of bundle {version} does not match its version"))]
     Damaged {
         /// The version.
         version: String,
     },
-    /// Nobody has approved the bundle.
-    #[snafu(display("bundle {version} was approved by nobody yet"))]
+    /// No second operator has approved the bundle.
+    #[snafu(display("bundle {version} has not been approved by a second operator"))]
     NotApproved {
         /// The version.
         version: String,
     },
-    /// The author wanted to approve it.
-    #[snafu(display("bundle {version} was written by {operator}, who cannot approve it"))]
+    /// The author tried to approve the bundle.
+    #[snafu(display("bundle {version} was written by {operator} and needs the approval of another operator"))]
     SelfApproval {
         /// The version.
         version: String,
-        /// Who tried.
+        /// Name of the author.
         operator: String,
     },
-    /// Somebody else rolled in between.
-    #[snafu(display("{winner} rolled bundle {version} as number {number} first"))]
+    /// Another operator published a bundle in between.
+    #[snafu(display("{winner} published bundle {version} as number {number} first"))]
     RaceLost {
-        /// Who was faster.
+        /// Name of the other operator.
         winner: String,
-        /// What was rolled.
+        /// Version that the other operator published.
         version: String,
-        /// Its number.
+        /// Number of that publication.
         number: u64,
     },
-    /// No bundle was rolled yet.
-    #[snafu(display("no bundle was rolled yet"))]
-    NotRolled,
-    /// Others changed the document in force at each try.
-    #[snafu(display("others changed the document in force at each try"))]
+    /// No bundle has been published.
+    #[snafu(display("no bundle has been published yet"))]
+    NotPublished,
+    /// The document in force was changed concurrently at each try.
+    #[snafu(display("the document in force was changed concurrently at each try"))]
     Busy,
     /// The store failed.
     #[snafu(display("{source}"))]
     Store {
-        /// How.
+        /// Error of the store.
         source: StoreError,
     },
 }
@@ -84,7 +85,7 @@
     pub const fn code(&self) -> Code {
         match self {
             Self::Faulty { .. } => Code::BundleValueInvalid,
-            Self::NotFound { .. } | Self::NotRolled => Code::BundleNotFound,
+            Self::NotFound { .. } | Self::NotPublished => Code::BundleNotFound,
             Self::Damaged { .. } => Code::BundleDamaged,
             Self::NotApproved { .. } => Code::BundleNotApproved,
             Self::SelfApproval { .. } => Code::BundleSelfApproval,
@@ -102,11 +103,11 @@
 
 /// Checks and writes a bundle; returns its version.
 ///
-/// Writing the same text again changes nothing, whoever does it.
+/// Writing the same text again changes nothing, also by another operator.
 ///
 /// # Errors
 ///
-/// Returns [`OperatorError::Faulty`] with every fault, or how the store failed.
+/// Returns [`OperatorError::Faulty`] with every fault, or the error of the store.
 pub async fn write(store: &dyn Store, operator: &str, text: &str) -> Result<String, OperatorError> {
     check(text).map_err(|faults| OperatorError::Faulty { faults })?;
     let version = version_of(text);
@@ -115,11 +116,11 @@
     Ok(version)
 }
 
-/// Approves a written bundle as somebody else than its author.
+/// Approves a written bundle; its author cannot approve it.
 ///
 /// # Errors
 ///
-/// Returns why the bundle cannot be approved, or how the store failed.
+/// Returns the reason for which the bundle cannot be approved, or the error of the store.
 pub async fn approve(store: &dyn Store, operator: &str, version: &str) -> Result<(), OperatorError> {
     let written = read_text(store, version).await?;
     if written.author == operator {
@@ -130,33 +131,33 @@
     Ok(())
 }
 
-/// What a roll found, and what it wrote.
+/// Result of publishing a bundle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rolled {
-    /// Number of the roll.
+    /// Number of the publication.
     pub number: u64,
-    /// Number that the store held before; zero where it held none.
+    /// Number in the store before; zero if there was none.
     pub held: u64,
-    /// Whether the store calls its history by another name than at the roll before.
+    /// Whether the store's history has another name than at the publication before.
     pub is_restored: bool,
 }
 
-/// Rolls an approved bundle; returns its number.
+/// Publishes an approved bundle; returns its number.
 ///
 /// # Errors
 ///
-/// Returns [`OperatorError::RaceLost`] with the winner when somebody else rolled in between, why
-/// the bundle cannot be rolled, or how the store failed.
-pub async fn roll(store: &dyn Store, operator: &str, version: &str) -> Result<u64, OperatorError> {
+/// Returns [`OperatorError::RaceLost`] with the winner if another operator published in between, the reason for which
+/// the bundle cannot be published, or the error of the store.
+pub async fn publish(store: &dyn Store, operator: &str, version: &str) -> Result<u64, OperatorError> {
     Ok(roll_over(store, operator, version, 0).await?.number)
 }
 
-/// Rolls an approved bundle under a number that is higher than what the store holds and than `served`, the highest that
-/// nodes are known to serve.
+/// Publishes an approved bundle under a number that is higher than the one in the store and than `served`, the highest
+/// that nodes are known to serve.
 ///
 /// # Errors
 ///
-/// As [`roll`].
+/// Returns the same errors as [`publish`].
 pub async fn roll_over(store: &dyn Store, operator: &str, version: &str, served: u64) -> Result<Rolled, OperatorError> {
     let written = read_text(store, version).await?;
     let approval = store.read(&approval_key(version)).await?;
@@ -170,7 +171,7 @@
     let is_restored = held.as_ref().is_some_and(|doc| is_restored(doc, &before));
     let mut next = next_current(&before, operator, version);
     next.number = next.number.max(served + 1);
-    let number = roll_at(store, before.position(), next).await?;
+    let number = publish_at(store, before.position(), next).await?;
     Ok(Rolled { number, held: held.map_or(0, |doc| doc.number), is_restored })
 }
 
@@ -178,13 +179,13 @@
 ///
 /// # Errors
 ///
-/// Returns [`OperatorError::NotRolled`] before the first roll, [`OperatorError::Busy`] where others
-/// changed the document each time, or how the store failed.
+/// Returns [`OperatorError::NotPublished`] before the first publication, [`OperatorError::Busy`] if the document was
+/// changed concurrently each time, or the error of the store.
 pub async fn set_evacuated(store: &dyn Store, domain: &str, evacuated: bool) -> Result<u64, OperatorError> {
     for _ in 0..TRIES {
         let found = store.read(CURRENT_KEY).await?;
         let Some(mut doc) = current_doc(&found) else {
-            return Err(OperatorError::NotRolled);
+            return Err(OperatorError::NotPublished);
         };
         if doc.evacuation.covers(domain) == evacuated {
             return Ok(doc.evacuation.number);
@@ -197,7 +198,7 @@
         let value = serde_json::to_vec(&doc).unwrap_or_default();
         match store.swap(CURRENT_KEY, Some(found.position()), value).await {
             Ok(Written::At(_)) => return Ok(doc.evacuation.number),
-            // Whether it took effect, and what others wrote, stands in the store alone.
+            // Only the store shows whether the write took effect and what others wrote.
             Ok(Written::Refused) | Err(StoreError::Lost { .. }) => {}
             Err(error) => return Err(error.into()),
         }
@@ -205,20 +206,20 @@
     Err(OperatorError::Busy)
 }
 
-/// Reads the bundle in force, if one was rolled.
+/// Reads the document in force, if a bundle was published.
 ///
 /// # Errors
 ///
-/// Returns how the store failed.
+/// Returns the error of the store.
 pub async fn current(store: &dyn Store) -> Result<Option<CurrentDoc>, OperatorError> {
     Ok(current_doc(&store.read(CURRENT_KEY).await?))
 }
 
-/// Reads a written bundle and holds it against its version.
+/// Reads a written bundle and checks it against its version.
 ///
 /// # Errors
 ///
-/// Returns that it does not exist or is damaged, or how the store failed.
+/// Returns an error if the bundle does not exist or is damaged, or the error of the store.
 pub async fn read_text(store: &dyn Store, version: &str) -> Result<WrittenDoc, OperatorError> {
     let Some(kv) = store.read(&text_key(version)).await?.value else {
         return Err(OperatorError::NotFound { version: version.into() });
@@ -227,27 +228,28 @@
     doc.filter(|doc| version_of(&doc.text) == version).ok_or_else(|| OperatorError::Damaged { version: version.into() })
 }
 
-/// Reads the document in force, if there is one that can be read.
+/// Parses the document in force, if there is a valid one.
 fn current_doc(found: &Found) -> Option<CurrentDoc> {
     found.value.as_ref().and_then(|kv| serde_json::from_slice(&kv.value).ok())
 }
 
-/// Returns whether the store was restored from a copy since a document was written, as far as its name shows.
+/// Returns whether the name of the store's history shows that the store was restored from a copy after a document was
+/// written.
 fn is_restored(doc: &CurrentDoc, found: &Found) -> bool {
     doc.history.is_some() && found.history.is_some() && doc.history != found.history
 }
 
 fn next_current(before: &Found, operator: &str, version: &str) -> CurrentDoc {
     let doc = current_doc(before);
-    // A number that the copy lacks may be in force at nodes, and they take nothing else under it.
-    let lost_max = doc.as_ref().filter(|doc| is_restored(doc, before)).map_or(0, |_| LOST_ROLLS_MAX);
+    // A number that the copy lacks may be in force at nodes, which accept no other bundle under it.
+    let lost_max = doc.as_ref().filter(|doc| is_restored(doc, before)).map_or(0, |_| LOST_PUBLICATIONS_MAX);
     let mut history = Vec::new();
     let mut number = 1;
     let mut evacuation = Evacuation::default();
     if let Some(doc) = doc {
         number = doc.number + lost_max + 1;
         evacuation = doc.evacuation.clone();
-        history.push(doc.rolled());
+        history.push(doc.published());
         history.extend(doc.before);
         history.truncate(HISTORY_MAX);
     }
@@ -263,7 +265,7 @@
     }
 }
 
-async fn roll_at(store: &dyn Store, mut expected: Position, mut next: CurrentDoc) -> Result<u64, OperatorError> {
+async fn publish_at(store: &dyn Store, mut expected: Position, mut next: CurrentDoc) -> Result<u64, OperatorError> {
     for _ in 0..TRIES {
         let value = serde_json::to_vec(&next).unwrap_or_default();
         match store.swap(CURRENT_KEY, Some(expected), value).await {
@@ -271,21 +273,22 @@
             Ok(Written::Refused) | Err(StoreError::Lost { .. }) => {}
             Err(error) => return Err(error.into()),
         }
-        // Whether it took effect stands in the store alone.
+        // Only the store shows whether the write took effect.
         let Ok(found) = store.read(CURRENT_KEY).await else {
             continue;
         };
         let position = found.position();
         match current_doc(&found) {
             Some(doc) if is_current(&doc, &next) => return Ok(next.number),
-            Some(doc) if doc.before.iter().any(|old| is_roll(old, &next)) => return Ok(next.number),
+            Some(doc) if doc.before.iter().any(|old| is_same_publication(old, &next)) => return Ok(next.number),
             Some(doc) if doc.number < next.number => {
-                // Only an evacuation has changed meanwhile.
+                // Only the evacuation has changed in between.
                 next.evacuation = doc.evacuation;
                 expected = position;
             }
             Some(doc) if doc.restored => {
-                // No operator was faster: a node has written what the store had lost, and this roll comes after it.
+                // No operator was faster: a node has rewritten a publication that the store had lost, and this one
+                // follows it.
                 let onto = next_current(&found, &next.operator, &next.version);
                 next = CurrentDoc { number: onto.number.max(next.number), rolled_ms: next.rolled_ms, ..onto };
                 expected = position;
@@ -296,7 +299,7 @@
             Some(_) | None => {}
         }
     }
-    let reason = "no answer to the roll, and it could not be read back".to_owned();
+    let reason = "the publication was not answered and could not be read back".to_owned();
     Err(StoreError::Lost { reason }.into())
 }
 
@@ -304,23 +307,24 @@
     (doc.number, doc.rolled_ms, &doc.operator) == (next.number, next.rolled_ms, &next.operator)
 }
 
-fn is_roll(old: &RolledDoc, next: &CurrentDoc) -> bool {
+fn is_same_publication(old: &PublishedDoc, next: &CurrentDoc) -> bool {
     old.number == next.number && old.rolled_ms == next.rolled_ms && old.operator == next.operator
 }
 
-/// Writes the text of a bundle again that the store has lost, as nodes have it.
+/// Writes a text again that the store has lost and nodes still have.
 ///
-/// Two operators have agreed on it before it was in force, so whoever approves it again does so as a second one.
+/// Two operators agreed on it before it came into force, so the approval of any operator counts as that of a second
+/// one.
 ///
 /// # Errors
 ///
-/// Returns how the store failed.
+/// Returns the error of the store.
 pub async fn restore_text(store: &dyn Store, text: &str) -> Result<(), OperatorError> {
     let doc = WrittenDoc { author: RESTORED_AUTHOR.into(), written_ms: wall_us() / 1000, text: text.into() };
     create(store, &text_key(&version_of(text)), &doc).await
 }
 
-/// Creates a document that never changes; one that is there already is as good.
+/// Creates a document that never changes; succeeds also if it exists already.
 async fn create<T: serde::Serialize>(store: &dyn Store, key: &str, doc: &T) -> Result<(), OperatorError> {
     let value = serde_json::to_vec(doc).unwrap_or_default();
     let mut last = StoreError::Lost { reason: "not tried".into() };
--- a/valetrack/src/bundle/reader.rs
+++ b/valetrack/src/bundle/reader.rs
@@ -1,4 +1,4 @@
-//! Reads tables of a bundle and notes every fault with its place.
+//! Reads tables of a bundle and records every fault with its line and column.
 
 use std::ops::{Range, RangeInclusive};
 use std::sync::Arc;
@@ -16,37 +16,37 @@
     pub faults: Vec<Fault>,
 }
 
-/// One table with the keys that were asked for, so that the others can be told.
+/// One table with the keys that were looked up, so that all others can be reported.
 pub struct Section<'a, 't> {
     table: &'a DeTable<'t>,
     span: Range<usize>,
-    known: Vec<&'static str>,
+    looked_up: Vec<&'static str>,
 }
 
 impl<'a, 't> Section<'a, 't> {
-    /// Starts reading a table that stands at `span`.
+    /// Starts reading the table at `span`.
     pub fn new(table: &'a DeTable<'t>, span: Range<usize>) -> Self {
-        Self { table, span, known: Vec::new() }
+        Self { table, span, looked_up: Vec::new() }
     }
 
-    /// Returns where the table stands in the text.
+    /// Returns the range of the table in the text.
     pub fn span(&self) -> &Range<usize> {
         &self.span
     }
 
     fn get(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'t>>> {
-        self.known.push(key);
+        self.looked_up.push(key);
         self.table.iter().find(|(name, _)| name.get_ref().as_ref() == key).map(|(_, value)| value)
     }
 }
 
 impl<'t> Reader<'t> {
-    /// Makes a reader of one text.
+    /// Creates a reader of one text.
     pub fn new(text: &'t str) -> Self {
         Self { text, faults: Vec::new() }
     }
 
-    /// Notes a fault at a place of the text.
+    /// Records a fault at a range of the text.
     pub fn fault(&mut self, code: Code, span: &Range<usize>, text: String) {
         let before = &self.text.as_bytes()[..span.start.min(self.text.len())];
         let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
@@ -54,7 +54,7 @@
         self.faults.push(Fault::new(code, line, column, text));
     }
 
-    /// Reads a whole number, or takes the default where the key is missing.
+    /// Reads a whole number; returns the default if the key is missing.
     pub fn number(
         &mut self,
         section: &mut Section<'_, '_>,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Reads true or false, or takes the default where the key is missing.
+    /// Reads true or false; returns the default if the key is missing.
     pub fn flag(&mut self, section: &mut Section<'_, '_>, key: &'static str, default: bool) -> bool {
         let Some(value) = section.get(key) else {
             return default;
@@ -91,28 +91,28 @@
         })
     }
 
-    /// Reads a text that `allowed` accepts.
+    /// Reads a string that `allowed` accepts.
     pub fn text(
         &mut self,
         section: &mut Section<'_, '_>,
         key: &'static str,
-        right: &str,
+        expected: &str,
         allowed: impl Fn(&str) -> bool,
     ) -> Option<Arc<str>> {
         let value = section.get(key)?;
         let found = value.get_ref().as_str().filter(|found| allowed(found));
         if found.is_none() {
-            self.fault(Code::BundleValueInvalid, &value.span(), format!("{key} must be {right}"));
+            self.fault(Code::BundleValueInvalid, &value.span(), format!("{key} must be {expected}"));
         }
         found.map(Arc::from)
     }
 
-    /// Reads a list of texts that `allowed` accepts.
+    /// Reads a list of strings that `allowed` accepts.
     pub fn texts(
         &mut self,
         section: &mut Section<'_, '_>,
         key: &'static str,
-        right: &str,
+        expected: &str,
         allowed: impl Fn(&str) -> bool,
     ) -> Option<Vec<Arc<str>>> {
         let value = section.get(key)?;
@@ -120,12 +120,12 @@
         let texts: Option<Vec<Arc<str>>> =
             value.get_ref().as_array().and_then(|items| items.iter().map(text).collect());
         if texts.is_none() {
-            self.fault(Code::BundleValueInvalid, &value.span(), format!("{key} must be {right}"));
+            self.fault(Code::BundleValueInvalid, &value.span(), format!("{key} must be {expected}"));
         }
         texts
     }
 
-    /// Notes that a key which must be there is missing.
+    /// Records a fault if a required key is missing.
     pub fn require<T>(&mut self, section: &Section<'_, '_>, key: &'static str, value: Option<T>) -> Option<T> {
         let absent = !section.table.iter().any(|(name, _)| name.get_ref().as_ref() == key);
         if value.is_none() && absent {
@@ -134,7 +134,7 @@
         value
     }
 
-    /// Returns a table below a key.
+    /// Returns the table at a key.
     pub fn table<'a, 'x>(&mut self, section: &mut Section<'a, 'x>, key: &'static str) -> Option<Section<'a, 'x>> {
         let value = section.get(key)?;
         let table = value.get_ref().as_table();
@@ -144,34 +144,34 @@
         table.map(|table| Section::new(table, value.span()))
     }
 
-    /// Returns the tables of an array below a key.
+    /// Returns the tables of the array at a key.
     pub fn tables<'a, 'x>(&mut self, section: &mut Section<'a, 'x>, key: &'static str) -> Vec<Section<'a, 'x>> {
         let Some(value) = section.get(key) else {
             return Vec::new();
         };
         let Some(array) = value.get_ref().as_array() else {
-            self.fault(Code::BundleValueInvalid, &value.span(), format!("{key} must be tables, [[{key}]]"));
+            self.fault(Code::BundleValueInvalid, &value.span(), format!("{key} must be an array of tables, [[{key}]]"));
             return Vec::new();
         };
         let mut sections = Vec::new();
         for item in array.iter() {
             match item.get_ref().as_table() {
                 Some(table) => sections.push(Section::new(table, item.span())),
-                None => self.fault(Code::BundleValueInvalid, &item.span(), format!("{key} must hold tables")),
+                None => self.fault(Code::BundleValueInvalid, &item.span(), format!("{key} must contain tables only")),
             }
         }
         sections
     }
 
-    /// Notes every key of the table that was not asked for.
+    /// Records a fault for every key of the table that was not looked up.
     pub fn finish(&mut self, section: &Section<'_, '_>) {
         let unknown = |(name, _): &(&Spanned<DeString<'_>>, &Spanned<DeValue<'_>>)| {
-            !section.known.contains(&name.get_ref().as_ref())
+            !section.looked_up.contains(&name.get_ref().as_ref())
         };
         let names: Vec<_> = section.table.iter().filter(unknown).map(|(name, _)| name).collect();
         for name in names {
-            let allowed = section.known.join(", ");
-            let text = format!("{} is not known here; known are {allowed}", name.get_ref());
+            let allowed = section.looked_up.join(", ");
+            let text = format!("unknown key {}; allowed are {allowed}", name.get_ref());
             self.fault(Code::BundleKeyUnknown, &name.span(), text);
         }
     }
--- a/valetrack/src/bundle/recover.rs
+++ b/valetrack/src/bundle/recover.rs
@@ -1,40 +1,41 @@
-//! What the store is to hold where it has come back from a copy: rolls and evacuations that nodes have seen.
+//! Recovery after a store rollback: publications and evacuations that a node has read and the store has lost.
 //!
-//! The operators' word is confirmed by the store alone, and a copy lacks the last of it. Whoever has read it from the store
-//! has it written again; and what was rolled on top of the copy gets a number that no node has seen, since nodes take
-//! no other bundle under a number that was once in force.
+//! Only the store confirms operators' commands, and a copy lacks the latest ones. A node that has read them from the
+//! store writes them again. A bundle that was published on top of the copy gets a number that no node has seen, because
+//! nodes accept no other bundle under a number that was once in force.
 
-use super::message::{CurrentDoc, HISTORY_MAX, RolledDoc};
+use super::message::{CurrentDoc, HISTORY_MAX, PublishedDoc};
 use crate::member::Evacuation;
 use crate::store::HistoryName;
 
 /// Evacuations that are remembered.
 const EVACUATIONS_MAX: usize = 50;
 
-/// What one node has read of the document in force.
+/// Documents in force that one node has read.
 #[derive(Debug, Default)]
-pub struct RollMemory {
-    /// The document of the highest number.
+pub struct PublishedHistory {
+    /// Document with the highest number.
     last: Option<CurrentDoc>,
     /// Evacuations, the latest last.
     evacuations: Vec<Evacuation>,
 }
 
-/// What the store is found to hold.
+/// Relation of the publication in the store to the last one that the node has read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    /// The last roll, or a later one.
+enum Relation {
+    /// It is the last one, or a later one.
     Current,
-    /// A roll before the last one.
+    /// It precedes the last one.
     Earlier,
-    /// A roll that was made without knowing of the last one.
-    Sideways,
+    /// It was published without a record of the last one.
+    Diverged,
 }
 
-impl RollMemory {
-    /// Takes the document as the store shows it, none where it has none; `in_force` is the number of the bundle in force
-    /// here, and `history` what the store calls its history. Returns what the store is to hold instead, if anything.
-    pub fn take(
+impl PublishedHistory {
+    /// Compares the document in the store, none if it has none, with the ones read before. `in_force` is the number of
+    /// the bundle in force here, and `history` the name of the store's history. Returns the document that the store has
+    /// to hold instead, if any; otherwise, the found one is remembered unless its number is below `in_force`.
+    pub fn reconcile(
         &mut self,
         found: Option<&CurrentDoc>,
         in_force: u64,
@@ -50,21 +51,21 @@
             }
             return None;
         };
-        let mut next = match standing(&last, found) {
-            Standing::Current => found.clone(),
-            Standing::Earlier => CurrentDoc { restored: true, ..last.clone() },
-            Standing::Sideways => after(&last, found),
+        let mut next = match relation_to(&last, found) {
+            Relation::Current => found.clone(),
+            Relation::Earlier => CurrentDoc { restored: true, ..last.clone() },
+            Relation::Diverged => renumber(&last, found),
         };
         next.evacuation = self.evacuation(&found.evacuation);
         next.history = history.or(found.history);
-        if next.is_like(found) && (found.history.is_none() || next.history == found.history) {
+        if next.is_equivalent(found) && (found.history.is_none() || next.history == found.history) {
             self.remember(found);
             return None;
         }
         Some(next)
     }
 
-    /// Notes what the store holds.
+    /// Records a document that the store holds.
     pub fn remember(&mut self, doc: &CurrentDoc) {
         if self.last.as_ref().is_none_or(|last| doc.number >= last.number) {
             self.last = Some(doc.clone());
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Returns the evacuation that is to hold where the store shows this one: both operators' words, where the one was
-    /// given without knowing of the other.
+    /// Returns the evacuation that applies if the store holds `found`. If two operators ordered evacuations and the
+    /// second one had no record of the first, both apply.
     fn evacuation(&self, found: &Evacuation) -> Evacuation {
         let Some(last) = self.evacuations.last() else {
             return found.clone();
@@ -95,22 +96,22 @@
     }
 }
 
-fn standing(last: &CurrentDoc, found: &CurrentDoc) -> Standing {
-    let found = found.rolled();
-    if found.number > last.number || found == last.rolled() {
-        return Standing::Current;
+fn relation_to(last: &CurrentDoc, found: &CurrentDoc) -> Relation {
+    let found = found.published();
+    if found.number > last.number || found == last.published() {
+        return Relation::Current;
     }
-    // Beyond the history that the document keeps, only the time tells; operators' clocks are not that far apart.
+    // Beyond the history in the document, only the time decides; operators' clocks do not differ that much.
     let is_beyond = last.before.len() >= HISTORY_MAX && last.before.iter().all(|old| old.number > found.number);
     if last.before.contains(&found) || (is_beyond && found.rolled_ms <= last.rolled_ms) {
-        return Standing::Earlier;
+        return Relation::Earlier;
     }
-    Standing::Sideways
+    Relation::Diverged
 }
 
-/// Returns a roll as the next one after the last.
-fn after(last: &CurrentDoc, found: &CurrentDoc) -> CurrentDoc {
-    let mut before: Vec<RolledDoc> = std::iter::once(last.rolled()).chain(last.before.iter().cloned()).collect();
+/// Renumbers a publication as the one after the last.
+fn renumber(last: &CurrentDoc, found: &CurrentDoc) -> CurrentDoc {
+    let mut before: Vec<PublishedDoc> = std::iter::once(last.published()).chain(last.before.iter().cloned()).collect();
     before.truncate(HISTORY_MAX);
     CurrentDoc { number: last.number + 1, before, restored: false, ..found.clone() }
 }
--- a/valetrack/src/bundle/route.rs
+++ b/valetrack/src/bundle/route.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-/// A service that takes a share of a route's calls.
+/// A service that gets a share of a route's calls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct SplitTarget {
     /// The service.
@@ -14,24 +14,24 @@
     pub weight: u32,
 }
 
-/// How calls to one host and path prefix are treated.
+/// Rule for calls to one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct HostRoute {
     /// Name of the route.
     pub name: Arc<str>,
-    /// Host that the call names, in lower case and without a port.
+    /// Host of the calls, in lower case and without a port.
     pub host: Arc<str>,
     /// Prefix of the path.
     pub prefix: Arc<str>,
-    /// Services that take its calls; at least one.
+    /// Services that get its calls; at least one.
     pub targets: Vec<SplitTarget>,
     /// Whether the work may run more than once.
     pub repeatable: bool,
-    /// Longest time of a call, in milliseconds.
+    /// Longest time of a call.
     pub timeout_ms: u32,
-    /// Time within which an answer is worth the most, in milliseconds.
+    /// Time within which an answer has its full utility.
     pub objective_ms: u32,
-    /// Rank under overload; zero goes first.
+    /// Priority under overload; zero is the highest.
     pub priority: u8,
     /// Most upstreams that one call may run on.
     pub attempts_max: u8,
@@ -72,14 +72,14 @@
         self.names.contains(name)
     }
 
-    /// Returns the services that take calls of the routes with these names.
+    /// Returns the services that get calls of the routes with these names.
     pub fn services_of<'a>(&'a self, names: &'a [Arc<str>]) -> impl Iterator<Item = &'a Arc<str>> {
         let routes = self.by_host.values().flatten().filter(|route| names.contains(&route.name));
         routes.flat_map(|route| route.targets.iter().map(|target| &target.service))
     }
 
-    /// Returns the route with the longest prefix of `path` among those of `host`; a port behind
-    /// the host is left out, and letters of either case are the same.
+    /// Returns the route with the longest prefix of `path` among those of `host`, regardless of the port and the case
+    /// of the host.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<HostRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(name) {
@@ -90,25 +90,24 @@
     }
 }
 
-/// Spreads the calls of one route over its services so that at any time each has had its share
-/// to within one call.
+/// Spreads the calls of one route over its services so that at any time each has had its share to within one call.
 ///
-/// A random draw would miss the shares of a route that has few calls; this picks the service
-/// whose share is the furthest behind.
+/// A random draw would miss the shares of a route that has few calls; the picker selects the service whose share is the
+/// furthest behind.
 #[derive(Debug, Clone, Default)]
 pub struct SplitPicker {
     credits: Vec<f64>,
 }
 
 impl SplitPicker {
-    /// Makes a picker that starts at a random place of the cycle, so that the nodes of a fleet
-    /// do not all begin with the same service.
+    /// Creates a picker that starts at a random point of the cycle, so that the nodes of a fleet do not all begin with
+    /// the same service.
     pub fn new(targets: &[SplitTarget], rng: &mut fastrand::Rng) -> Self {
         let total = total_weight(targets);
         Self { credits: targets.iter().map(|_| rng.f64() * total).collect() }
     }
 
-    /// Returns the index of the service that takes the next call.
+    /// Returns the index of the service for the next call.
     ///
     /// # Panics
     ///
--- a/valetrack/src/bundle/run.rs
+++ b/valetrack/src/bundle/run.rs
@@ -1,4 +1,4 @@
-//! Shell of bundles; it shares the member thread, since bundles spread with its exchanges.
+//! I/O shell of bundles; it runs on the member thread, because bundles spread with the exchanges of that thread.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,19 +11,19 @@
 use super::adopt::Adopter;
 use super::message::{CURRENT_KEY, CurrentDoc};
 use super::operator::{self, read_text};
-use super::recover::RollMemory;
+use super::recover::PublishedHistory;
 use crate::code::Code;
 use crate::member::{Evacuation, Members};
 use crate::metric::Metrics;
 use crate::store::{Found, Store, Versioned, WatchNews, Written};
 
-/// Nodes of one failure domain that watch the store.
+/// Nodes of each failure domain that watch the store.
 const WATCHERS: usize = 2;
-/// Pause between two looks at the store by nodes that do not watch, in milliseconds.
+/// Interval at which nodes that do not watch the store poll it.
 const POLL_MS: u64 = 30_000;
-/// Pause before the store is asked again while this node has no bundle, in milliseconds.
-const FIRST_MS: u64 = 200;
-/// Pause before a watch that ended is opened again, in milliseconds.
+/// Pause before the store is read again while this node has no bundle.
+const NO_BUNDLE_POLL_MS: u64 = 200;
+/// Pause before a watch that ended is opened again.
 const REWATCH_MS: u64 = 500;
 
 /// Follows the store's bundles for a node.
@@ -35,13 +35,13 @@
     store: Arc<dyn Store>,
     members: watch::Receiver<Arc<Members>>,
     metrics: Arc<Metrics>,
-    /// Failure domains that are evacuated, as the store told last.
+    /// Evacuated failure domains, as last read from the store.
     evacuation: watch::Sender<Evacuation>,
-    memory: RefCell<RollMemory>,
+    published_history: RefCell<PublishedHistory>,
 }
 
 impl Bundler {
-    /// Makes a bundler that has no bundle yet.
+    /// Creates a bundler without a bundle.
     pub fn new(
         vm: Arc<str>,
         domain: Arc<str>,
@@ -51,36 +51,36 @@
         metrics: Arc<Metrics>,
     ) -> Self {
         let evacuation = watch::Sender::new(Evacuation::default());
-        Self { vm, domain, adopter, store, members, metrics, evacuation, memory: RefCell::default() }
+        Self { vm, domain, adopter, store, members, metrics, evacuation, published_history: RefCell::default() }
     }
 
-    /// Returns the failure domains that are evacuated, as the store tells.
+    /// Returns the evacuated failure domains, as read from the store.
     pub fn evacuation(&self) -> watch::Receiver<Evacuation> {
         self.evacuation.subscribe()
     }
 
-    /// Follows the store: by a watch where this node is one of its domain's watchers, else by a
-    /// look now and then; runs as long as the node.
+    /// Follows the store, by a watch if this node is one of its domain's watchers and by polling otherwise; runs as
+    /// long as the node.
     pub async fn follow_store(self: Rc<Self>) {
         loop {
             let read = self.read_current().await;
             let pause_ms = match read {
-                Ok(revision) if self.watches() => {
+                Ok(revision) if self.is_watcher() => {
                     self.watch(revision + 1).await;
                     REWATCH_MS
                 }
                 Ok(_) if self.adopter.number() > 0 => POLL_MS,
-                Ok(_) => FIRST_MS,
+                Ok(_) => NO_BUNDLE_POLL_MS,
                 Err(()) if self.adopter.number() > 0 => REWATCH_MS,
-                Err(()) => FIRST_MS,
+                Err(()) => NO_BUNDLE_POLL_MS,
             };
-            // Not all come back to a store at once that has just got well.
+            // The random pause keeps the nodes from reading a recovered store all at once.
             sleep(Duration::from_millis(pause_ms / 2 + fastrand::u64(0..=pause_ms / 2))).await;
         }
     }
 
-    /// Returns whether this node is among the first of its domain.
-    fn watches(&self) -> bool {
+    /// Returns whether this node is one of its domain's watchers: the first ones by name.
+    fn is_watcher(&self) -> bool {
         let members = self.members.borrow();
         let in_domain = members.iter().filter(|member| member.domain == self.domain);
         let mut vms: Vec<Arc<str>> = in_domain.map(|member| member.vm.clone()).collect();
@@ -101,23 +101,24 @@
             Some(kv) => Some(read_doc(kv).ok_or(())?),
             None => None,
         };
-        let recovered = self.memory.borrow_mut().take(doc.as_ref(), self.adopter.number(), found.history);
+        let recovered =
+            self.published_history.borrow_mut().reconcile(doc.as_ref(), self.adopter.number(), found.history);
         let number = doc.as_ref().map_or(0, |doc| doc.number);
         if recovered.is_none() && number < self.adopter.number() {
-            // Those who have read the lost document from the store write it again; this node has its text alone.
+            // Nodes that have read the lost document from the store write it again; this node has only its text.
             log::warn!("event=bundle.store_behind number={number} in_force={}", self.adopter.number());
         }
         match (recovered, doc) {
             (Some(next), doc) => self.recover(&found, doc.as_ref(), next).await,
             (None, Some(doc)) => {
-                self.take_doc(&doc).await;
+                self.apply_doc(&doc).await;
                 Ok(found.position().wire_revision())
             }
             (None, None) => Ok(0),
         }
     }
 
-    /// Writes what the store has lost, or what was rolled without knowing of that, under a number of its own.
+    /// Writes a document that the store has lost, or renumbers one that was published without a record of it.
     async fn recover(&self, found: &Found, held: Option<&CurrentDoc>, next: CurrentDoc) -> Result<u64, ()> {
         let number = held.map_or(0, |doc| doc.number);
         log::warn!("event=bundle.store_behind number={number} in_force={} next={}", self.adopter.number(), next.number);
@@ -127,11 +128,11 @@
         match self.store.swap(CURRENT_KEY, Some(found.position()), value).await {
             Ok(Written::At(at)) => {
                 log::warn!("event=bundle.store_recovered number={} version={}", next.number, next.version);
-                self.memory.borrow_mut().remember(&next);
-                self.take_doc(&next).await;
+                self.published_history.borrow_mut().remember(&next);
+                self.apply_doc(&next).await;
                 Ok(at.wire_revision())
             }
-            // Another node was faster, or an operator; what stands there now is looked at again.
+            // Another node or an operator was faster; the document is read again.
             Ok(Written::Refused) => Err(()),
             Err(error) => {
                 log::warn!("event=bundle.recover_failed code={} reason=\"{error}\"", error.code());
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Writes the text in force again where the store has lost it.
+    /// Writes the text in force again if the store has lost it.
     async fn restore_text(&self, version: &str) -> Result<(), ()> {
         let in_force = self.adopter.in_force().filter(|in_force| &*in_force.version == version);
         let Some(in_force) = in_force else {
@@ -152,23 +153,24 @@
         })
     }
 
-    /// Follows the document in force from a revision on, until the watch ends or shows what has to be written again.
+    /// Follows the document in force from a revision on, until the watch ends or shows a document that has to be
+    /// replaced.
     async fn watch(&self, from_revision: u64) {
         self.metrics.store_calls.with_label_values(&["watch"]).inc();
-        let (news, mut changes) = mpsc::channel::<WatchNews>(16);
+        let (updates, mut changes) = mpsc::channel::<WatchNews>(16);
         let follow = async {
             while let Some(change) = changes.recv().await {
                 let Some(doc) = change.value.as_ref().and_then(read_doc) else {
                     continue;
                 };
                 let history = doc.history;
-                if self.memory.borrow_mut().take(Some(&doc), self.adopter.number(), history).is_some() {
+                if self.published_history.borrow_mut().reconcile(Some(&doc), self.adopter.number(), history).is_some() {
                     return;
                 }
-                self.take_doc(&doc).await;
+                self.apply_doc(&doc).await;
             }
         };
-        let watch = self.store.watch(CURRENT_KEY, from_revision, news);
+        let watch = self.store.watch(CURRENT_KEY, from_revision, updates);
         tokio::select! {
             biased;
             () = follow => {}
@@ -180,8 +182,8 @@
         }
     }
 
-    async fn take_doc(&self, doc: &CurrentDoc) {
-        self.evacuation.send_if_modified(|known| known.merge(&doc.evacuation));
+    async fn apply_doc(&self, doc: &CurrentDoc) {
+        self.evacuation.send_if_modified(|current| current.merge(&doc.evacuation));
         if !self.adopter.wants(doc.number) {
             return;
         }
--- a/valetrack/src/bundle/state.rs
+++ b/valetrack/src/bundle/state.rs
@@ -1,4 +1,4 @@
-//! Pure decisions of adopting bundles: forward only.
+//! Adoption of bundles with increasing numbers, without I/O.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 #[derive(Debug, Clone, Default)]
 pub struct Adoption {
     current: Option<Arc<InForce>>,
-    /// Highest number heard of, whether its text is at hand or not.
-    heard: u64,
+    /// Highest number of a publication that this node has a record of, with or without its text.
+    published: u64,
 }
 
 impl Adoption {
-    /// Takes a bundle that was rolled; returns whether it is in force now.
+    /// Adopts a published bundle; returns whether it has come into force.
     ///
-    /// A bundle of a lower or the same number changes nothing.
+    /// A bundle with the number in force or a lower one changes nothing.
     pub fn offer(&mut self, bundle: InForce) -> bool {
-        self.heard = self.heard.max(bundle.number);
+        self.published = self.published.max(bundle.number);
         if bundle.number <= self.number() {
             return false;
         }
@@ -25,18 +25,18 @@
         true
     }
 
-    /// Notes that a bundle of this number was rolled; returns whether its text is to be fetched.
-    pub fn hear(&mut self, number: u64) -> bool {
-        self.heard = self.heard.max(number);
-        self.behind()
+    /// Records that a bundle of this number was published; returns whether its text has to be fetched.
+    pub fn record_published(&mut self, number: u64) -> bool {
+        self.published = self.published.max(number);
+        self.is_behind()
     }
 
-    /// Returns whether a later bundle was heard of than the one in force.
-    pub fn behind(&self) -> bool {
-        self.heard > self.number()
+    /// Returns whether a later bundle than the one in force was published.
+    pub fn is_behind(&self) -> bool {
+        self.published > self.number()
     }
 
-    /// Returns the number of the bundle in force; zero when there is none.
+    /// Returns the number of the bundle in force; zero if there is none.
     pub fn number(&self) -> u64 {
         self.current.as_ref().map_or(0, |bundle| bundle.number)
     }
--- a/valetrack/src/bundle/tests.rs
+++ b/valetrack/src/bundle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of bundles: checks, adoption, and operators against a store that fails.
+//! Tests of bundles: checks, adoption, and operators' commands with a failing store.
 
 mod check;
 mod fake;
--- a/valetrack/src/bundle/tests/check.rs
+++ b/valetrack/src/bundle/tests/check.rs
@@ -1,4 +1,4 @@
-//! Every fault of a text is told at once, with its place.
+//! Tests of the check, which reports all faults of a text with line and column, and of adoption.
 
 use proptest::prelude::*;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn all_faults_are_told_with_line_and_column() {
+fn check_reports_all_faults_with_line_and_column() {
     let text = r#"
 [measure]
 bytes_per_s = "many"
@@ -49,7 +49,7 @@
 "#;
     insta::assert_snapshot!(faults(text), @r#"
     3:15: VT503: bytes_per_s must be a whole number from 0 to 1000000
-    4:1: VT502: burst is not known here; known are bytes_per_s, probes_per_s, stale_ms
+    4:1: VT502: unknown key burst; allowed are bytes_per_s, probes_per_s, stale_ms
     7:8: VT503: name must be a name of a-z, 0-9 and -, up to 63 characters
     8:9: VT503: slots must be a whole number from 1 to 10000
     9:10: VT503: claims must be "durable" or "held"
@@ -60,21 +60,21 @@
 }
 
 #[test]
-fn a_text_that_is_no_toml_is_told_as_such() {
+fn invalid_toml_is_reported_as_syntax_fault() {
     insta::assert_snapshot!(faults("[[service]\nname = \n"), @r#"
     1:1: VT504: at least one [[service]] is needed
     1:11: VT501: unclosed array table, expected `]`
-    2:1: VT502: name is not known here; known are measure, service, account
+    2:1: VT502: unknown key name; allowed are measure, service, account
     "#);
 }
 
 #[test]
-fn a_service_that_stands_twice_is_a_fault() {
-    insta::assert_snapshot!(faults("[[service]]\nname = \"a\"\n[[service]]\nname = \"a\"\n"), @"3:1: VT503: service a stands twice");
+fn duplicate_service_is_reported() {
+    insta::assert_snapshot!(faults("[[service]]\nname = \"a\"\n[[service]]\nname = \"a\"\n"), @"3:1: VT503: service a is defined twice");
 }
 
 #[test]
-fn routes_are_matched_by_the_longest_prefix_and_default_to_caution() {
+fn longest_prefix_applies_and_routes_default_to_not_repeatable() {
     let bundle = check(GOOD).expect("no faults");
     let service = bundle.service("intake").expect("the service");
     let repeatable = |method, path| service.route(method, path).map(|route| route.repeatable);
@@ -98,13 +98,13 @@
     })]
 
     #[test]
-    fn a_bundle_in_force_never_goes_back(offers in prop::collection::vec((0..30u64, any::<bool>()), 1..60)) {
+    fn number_in_force_never_decreases(offers in prop::collection::vec((0..30u64, any::<bool>()), 1..60)) {
         let mut adoption = Adoption::default();
         let mut highest = 0;
-        for (number, only_heard) in offers {
+        for (number, is_number_only) in offers {
             let before = adoption.number();
-            if only_heard {
-                adoption.hear(number);
+            if is_number_only {
+                adoption.record_published(number);
             } else {
                 prop_assert_eq!(adoption.offer(in_force(number)), number > before);
                 highest = highest.max(number);
@@ -114,12 +114,12 @@
     }
 
     #[test]
-    fn no_text_makes_the_check_panic(text in "([a-z\\[\\]\\.=\" \\n0-9{},#-]{0,200})") {
+    fn check_does_not_panic_on_arbitrary_text(text in "([a-z\\[\\]\\.=\" \\n0-9{},#-]{0,200})") {
         let _ = check(&text);
     }
 
     #[test]
-    fn a_damaged_text_is_refused_or_still_sound(at in any::<usize>(), byte in 32..127u8) {
+    fn damaged_text_is_rejected_or_still_valid(at in any::<usize>(), byte in 32..127u8) {
         let mut text = GOOD.as_bytes().to_vec();
         let at = at % text.len();
         text[at] = byte;
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn faults_of_accounts_are_told() {
+fn faults_of_accounts_are_reported() {
     let text = r#"
 [[service]]
 name = "intake"
@@ -152,7 +152,7 @@
     insta::assert_snapshot!(faults(text), @r#"
     7:14: VT503: rate_per_s must be a whole number from 0 to 1000000000
     8:1: VT503: another account has one of its keys
-    13:8: VT503: keys must be texts of 16 to 256 visible characters each
+    13:8: VT503: keys must be a list of strings of 16 to 256 visible characters
     14:1: VT504: keys is missing
     "#);
 }
--- a/valetrack/src/bundle/tests/fake.rs
+++ b/valetrack/src/bundle/tests/fake.rs
@@ -1,4 +1,4 @@
-//! A store in memory that fails as it is told to.
+//! An in-memory store with injected failures.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -8,63 +8,63 @@
 
 use crate::store::{Era, Found, HistoryName, Position, Store, StoreError, Versioned, WatchNews, Written};
 
-/// What happens to one write.
+/// Outcome of one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteOutcome {
     Done,
-    /// It takes effect and its answer is lost.
+    /// The write takes effect and its answer is lost.
     AnswerLost,
-    /// It takes no effect and its answer is lost.
+    /// The write takes no effect and its answer is lost.
     Dropped,
 }
 
 #[derive(Default)]
 struct State {
     revision: u64,
-    /// Name of its history; it changes with each return from a copy.
+    /// Name of its history; it changes with each restore from a copy.
     history: u64,
     entries: BTreeMap<String, Versioned>,
-    fates: Vec<Fate>,
+    outcomes: Vec<WriteOutcome>,
     down: bool,
-    /// Written just before the next write, as another operator would.
-    rival: Option<(String, Vec<u8>)>,
+    /// Key and value of another operator's write, applied just before the next write.
+    competing_write: Option<(String, Vec<u8>)>,
 }
 
 #[derive(Default)]
 pub struct FakeStore(Mutex<State>);
 
 impl FakeStore {
-    pub fn fate(&self, fates: &[Fate]) {
-        self.0.lock().expect("no panic").fates = fates.iter().rev().copied().collect();
+    pub fn set_outcomes(&self, outcomes: &[WriteOutcome]) {
+        self.0.lock().expect("no panic").outcomes = outcomes.iter().rev().copied().collect();
     }
 
     pub fn set_down(&self, down: bool) {
         self.0.lock().expect("no panic").down = down;
     }
 
-    pub fn rival(&self, key: &str, value: Vec<u8>) {
-        self.0.lock().expect("no panic").rival = Some((key.to_owned(), value));
+    pub fn set_competing_write(&self, key: &str, value: Vec<u8>) {
+        self.0.lock().expect("no panic").competing_write = Some((key.to_owned(), value));
     }
 
-    /// Writes a key, whatever it holds.
+    /// Writes a key unconditionally.
     pub fn put(&self, key: &str, value: Vec<u8>) {
         self.0.lock().expect("no panic").put(key, value);
     }
 
-    /// Returns all that the store holds, to come back to.
+    /// Returns a copy of the store's contents, to be restored later.
     pub fn copy(&self) -> (u64, BTreeMap<String, Versioned>) {
         let state = self.0.lock().expect("no panic");
         (state.revision, state.entries.clone())
     }
 
-    /// Comes back from a copy, with another name for its history.
+    /// Restores a copy and renames the history.
     pub fn restore(&self, copy: (u64, BTreeMap<String, Versioned>)) {
-        self.restore_unnamed(copy);
+        self.restore_without_rename(copy);
         self.0.lock().expect("no panic").history += 1;
     }
 
-    /// Comes back from a copy and says nothing of it.
-    pub fn restore_unnamed(&self, (revision, entries): (u64, BTreeMap<String, Versioned>)) {
+    /// Restores a copy without renaming the history.
+    pub fn restore_without_rename(&self, (revision, entries): (u64, BTreeMap<String, Versioned>)) {
         let mut state = self.0.lock().expect("no panic");
         state.revision = revision;
         state.entries = entries;
@@ -91,12 +91,12 @@
         if self.down {
             return Err(StoreError::Unreachable { reason: "down".into() });
         }
-        let fate = self.fates.pop().unwrap_or(Fate::Done);
-        if fate == Fate::Dropped {
+        let outcome = self.outcomes.pop().unwrap_or(WriteOutcome::Done);
+        if outcome == WriteOutcome::Dropped {
             return Err(StoreError::Lost { reason: "dropped".into() });
         }
-        if let Some((rival_key, rival)) = self.rival.take() {
-            self.put(&rival_key, rival);
+        if let Some((other_key, other_value)) = self.competing_write.take() {
+            self.put(&other_key, other_value);
         }
         let found = self.entries.get(key).map_or(self.at(0), |kv| kv.position);
         let is_expected = expected.unwrap_or(self.at(0)) == found;
@@ -107,7 +107,7 @@
             }
             false => Written::Refused,
         };
-        if fate == Fate::AnswerLost {
+        if outcome == WriteOutcome::AnswerLost {
             return Err(StoreError::Lost { reason: "answer lost".into() });
         }
         Ok(written)
@@ -141,7 +141,7 @@
         &'a self,
         _key: &'a str,
         _from_revision: u64,
-        _news: mpsc::Sender<WatchNews>,
+        _updates: mpsc::Sender<WatchNews>,
     ) -> BoxFuture<'a, Result<(), StoreError>> {
         Box::pin(async { Ok(()) })
     }
--- a/valetrack/src/bundle/tests/operator.rs
+++ b/valetrack/src/bundle/tests/operator.rs
@@ -1,9 +1,9 @@
-//! Operators who race, approve their own work, or lose an answer.
+//! Tests of operators' commands: races, self-approval and lost answers.
 
 use test_case::test_case;
 
-use super::fake::{FakeStore, Fate};
-use crate::bundle::operator::{OperatorError, approve, current, roll, set_evacuated, write};
+use super::fake::{FakeStore, WriteOutcome};
+use crate::bundle::operator::{OperatorError, approve, current, publish, set_evacuated, write};
 use crate::bundle::{CURRENT_KEY, CurrentDoc};
 use crate::code::Code;
 use crate::member::Evacuation;
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn a_faulty_bundle_is_never_written() {
+async fn faulty_bundle_is_not_written() {
     let store = FakeStore::default();
     let refused = write(&store, "ana", "[[service]]\nname = 7\n").await;
     assert!(matches!(refused, Err(OperatorError::Faulty { faults }) if faults.len() == 1));
@@ -26,29 +26,29 @@
 }
 
 #[tokio::test]
-async fn one_operators_word_is_not_enough() {
+async fn bundle_needs_approval_of_second_operator() {
     let store = FakeStore::default();
     let version = write(&store, "ana", TEXT).await.expect("written");
-    let early = roll(&store, "ana", &version).await;
+    let early = publish(&store, "ana", &version).await;
     assert_eq!(early.map_err(|error| error.code()), Err(Code::BundleNotApproved));
     let own = approve(&store, "ana", &version).await;
     assert_eq!(own.map_err(|error| error.code()), Err(Code::BundleSelfApproval));
     approve(&store, "bor", &version).await.expect("approved");
-    assert_eq!(roll(&store, "ana", &version).await.ok(), Some(1));
+    assert_eq!(publish(&store, "ana", &version).await.ok(), Some(1));
 }
 
 #[tokio::test]
-async fn what_was_never_written_cannot_be_rolled() {
+async fn unwritten_bundle_cannot_be_published() {
     let store = FakeStore::default();
-    let missing = roll(&store, "ana", "00").await;
+    let missing = publish(&store, "ana", "00").await;
     assert_eq!(missing.map_err(|error| error.code()), Err(Code::BundleNotFound));
 }
 
 #[tokio::test]
-async fn of_two_who_roll_at_once_one_is_told_who_won() {
+async fn losing_operator_gets_name_of_winner() {
     let store = FakeStore::default();
     let version = approved(&store, TEXT).await;
-    let rival = CurrentDoc {
+    let competing = CurrentDoc {
         number: 1,
         version: "rival".into(),
         operator: "cene".into(),
@@ -58,59 +58,59 @@
         history: None,
         restored: false,
     };
-    store.rival(CURRENT_KEY, serde_json::to_vec(&rival).expect("a document"));
-    match roll(&store, "ana", &version).await {
+    store.set_competing_write(CURRENT_KEY, serde_json::to_vec(&competing).expect("a document"));
+    match publish(&store, "ana", &version).await {
         Err(OperatorError::RaceLost { winner, number, .. }) => assert_eq!((winner.as_str(), number), ("cene", 1)),
         other => panic!("{other:?}"),
     }
-    assert_eq!(current(&store).await.expect("read"), Some(rival));
+    assert_eq!(current(&store).await.expect("read"), Some(competing));
 }
 
-#[test_case(&[Fate::AnswerLost]; "the answer is lost")]
-#[test_case(&[Fate::Dropped]; "the write is lost")]
-#[test_case(&[Fate::Dropped, Fate::AnswerLost]; "the write and then the answer")]
+#[test_case(&[WriteOutcome::AnswerLost]; "the answer is lost")]
+#[test_case(&[WriteOutcome::Dropped]; "the write is lost")]
+#[test_case(&[WriteOutcome::Dropped, WriteOutcome::AnswerLost]; "the write and then the answer")]
 #[tokio::test]
-async fn a_lost_answer_is_read_back(fates: &[Fate]) {
+async fn publication_with_lost_answer_is_read_back(outcomes: &[WriteOutcome]) {
     let store = FakeStore::default();
     let first = approved(&store, TEXT).await;
     let second = approved(&store, OTHER).await;
-    assert_eq!(roll(&store, "ana", &first).await.ok(), Some(1));
-    store.fate(fates);
-    assert_eq!(roll(&store, "ana", &second).await.ok(), Some(2), "rolled once, and told so");
+    assert_eq!(publish(&store, "ana", &first).await.ok(), Some(1));
+    store.set_outcomes(outcomes);
+    assert_eq!(publish(&store, "ana", &second).await.ok(), Some(2), "published once and confirmed");
     let doc = current(&store).await.expect("read").expect("a bundle in force");
     assert_eq!((doc.number, doc.version, doc.before.len()), (2, second, 1));
 }
 
-#[test_case(&[Fate::AnswerLost]; "the answer is lost")]
-#[test_case(&[Fate::Dropped, Fate::Dropped]; "two writes are lost")]
+#[test_case(&[WriteOutcome::AnswerLost]; "the answer is lost")]
+#[test_case(&[WriteOutcome::Dropped, WriteOutcome::Dropped]; "two writes are lost")]
 #[tokio::test]
-async fn a_lost_write_is_written_again(fates: &[Fate]) {
+async fn lost_write_is_retried(outcomes: &[WriteOutcome]) {
     let store = FakeStore::default();
-    store.fate(fates);
+    store.set_outcomes(outcomes);
     let version = write(&store, "ana", TEXT).await.expect("written");
     assert_eq!(store.keys(), [format!("/valetrack/bundle/text/{version}")]);
 }
 
 #[tokio::test]
-async fn a_store_that_is_down_is_told_as_such() {
+async fn unreachable_store_is_reported() {
     let store = FakeStore::default();
     let version = approved(&store, TEXT).await;
     store.set_down(true);
-    let rolled = roll(&store, "ana", &version).await;
-    assert_eq!(rolled.map_err(|error| error.code()), Err(Code::StoreUnreachable));
+    let published = publish(&store, "ana", &version).await;
+    assert_eq!(published.map_err(|error| error.code()), Err(Code::StoreUnreachable));
 }
 
 #[tokio::test]
-async fn a_domain_is_evacuated_and_returned_and_a_roll_keeps_it() {
+async fn publication_keeps_evacuation_until_domain_returns() {
     let store = FakeStore::default();
     let first = approved(&store, TEXT).await;
     let second = approved(&store, OTHER).await;
     let early = set_evacuated(&store, "kranj", true).await;
     assert_eq!(early.map_err(|error| error.code()), Err(Code::BundleNotFound));
-    roll(&store, "ana", &first).await.expect("rolled");
+    publish(&store, "ana", &first).await.expect("published");
     assert_eq!(set_evacuated(&store, "kranj", true).await.ok(), Some(1));
     assert_eq!(set_evacuated(&store, "kranj", true).await.ok(), Some(1), "it is evacuated already");
-    roll(&store, "ana", &second).await.expect("rolled");
+    publish(&store, "ana", &second).await.expect("published");
     let doc = current(&store).await.expect("read").expect("a bundle in force");
     assert!(doc.evacuation.covers("kranj"));
     assert_eq!(set_evacuated(&store, "kranj", false).await.ok(), Some(2));
@@ -118,64 +118,67 @@
     assert_eq!((doc.number, doc.evacuation.domains.len()), (2, 0));
 }
 
-#[test_case(&[Fate::AnswerLost]; "the answer is lost")]
-#[test_case(&[Fate::Dropped]; "the write is lost")]
+#[test_case(&[WriteOutcome::AnswerLost]; "the answer is lost")]
+#[test_case(&[WriteOutcome::Dropped]; "the write is lost")]
 #[tokio::test]
-async fn an_evacuation_whose_answer_is_lost_is_read_back(fates: &[Fate]) {
+async fn evacuation_with_lost_answer_is_read_back(outcomes: &[WriteOutcome]) {
     let store = FakeStore::default();
     let version = approved(&store, TEXT).await;
-    roll(&store, "ana", &version).await.expect("rolled");
-    store.fate(fates);
+    publish(&store, "ana", &version).await.expect("published");
+    store.set_outcomes(outcomes);
     assert_eq!(set_evacuated(&store, "kranj", true).await.ok(), Some(1));
 }
 
 #[tokio::test]
-async fn an_evacuation_in_the_middle_of_a_roll_does_not_win_over_it() {
+async fn concurrent_evacuation_and_publication_both_apply() {
     let store = FakeStore::default();
     let first = approved(&store, TEXT).await;
     let second = approved(&store, OTHER).await;
-    roll(&store, "ana", &first).await.expect("rolled");
-    let mut rival = current(&store).await.expect("read").expect("a bundle in force");
-    rival.evacuation =
+    publish(&store, "ana", &first).await.expect("published");
+    let mut competing = current(&store).await.expect("read").expect("a bundle in force");
+    competing.evacuation =
         Evacuation { number: 1, era: Default::default(), domains: [std::sync::Arc::from("kranj")].into() };
-    store.rival(CURRENT_KEY, serde_json::to_vec(&rival).expect("a document"));
-    assert_eq!(roll(&store, "ana", &second).await.ok(), Some(2));
+    store.set_competing_write(CURRENT_KEY, serde_json::to_vec(&competing).expect("a document"));
+    assert_eq!(publish(&store, "ana", &second).await.ok(), Some(2));
     let doc = current(&store).await.expect("read").expect("a bundle in force");
-    assert!(doc.evacuation.covers("kranj"), "the roll has kept it");
+    assert!(doc.evacuation.covers("kranj"), "the publication keeps the evacuation");
 }
 
 #[tokio::test]
-async fn a_roll_goes_on_top_of_what_a_node_has_restored_meanwhile() {
+async fn publication_follows_document_restored_by_node() {
     let store = FakeStore::default();
     let first = approved(&store, TEXT).await;
     let second = approved(&store, OTHER).await;
-    roll(&store, "ana", &first).await.expect("rolled");
+    publish(&store, "ana", &first).await.expect("published");
     let before = current(&store).await.expect("read").expect("a bundle in force");
-    roll(&store, "ana", &second).await.expect("rolled");
+    publish(&store, "ana", &second).await.expect("published");
     let lost = current(&store).await.expect("read").expect("a bundle in force");
     store.put(CURRENT_KEY, serde_json::to_vec(&before).expect("a document"));
-    store.rival(CURRENT_KEY, serde_json::to_vec(&CurrentDoc { restored: true, ..lost }).expect("a document"));
-    assert_eq!(roll(&store, "bor", &first).await.ok(), Some(3), "no operator was faster");
+    store.set_competing_write(
+        CURRENT_KEY,
+        serde_json::to_vec(&CurrentDoc { restored: true, ..lost }).expect("a document"),
+    );
+    assert_eq!(publish(&store, "bor", &first).await.ok(), Some(3), "no operator was faster");
     let doc = current(&store).await.expect("read").expect("a bundle in force");
     assert_eq!((doc.version, doc.before.len(), doc.restored), (first, 2, false));
 }
 
-/// A roll was confirmed and in force nowhere. Its number counted on from the document that the store held; the store had come
-/// back from a copy that lacked the roll in force, so both got number 2, and nodes take nothing under a number that was in
-/// force: "number 2 is no later one than 2 at a node". Now the document names the store's history. Where the store calls
-/// it otherwise, the number leaves room for all that the copy may lack; where it does not, nodes write again what they
-/// have read (`RollMemory`).
+/// Guards against a publication that is confirmed and comes into force nowhere. Its number followed the one in the
+/// store, which had been restored from a copy without the publication in force. Both got number 2, and nodes accept no
+/// other bundle under a number that was in force. The document therefore has the name of the store's history. If the
+/// store has another name, the number leaves room for all publications that the copy may lack; if not, nodes write
+/// again the documents that they have read (`PublishedHistory`).
 #[tokio::test]
-async fn a_roll_after_the_store_came_back_older_is_in_force_at_nodes() {
+async fn publication_after_store_rollback_comes_into_force() {
     let store = FakeStore::default();
     let first = approved(&store, TEXT).await;
     let second = approved(&store, OTHER).await;
-    roll(&store, "ana", &first).await.expect("rolled");
+    publish(&store, "ana", &first).await.expect("published");
     let copy = store.copy();
-    let in_force = roll(&store, "ana", &second).await.expect("rolled");
+    let in_force = publish(&store, "ana", &second).await.expect("published");
     store.restore(copy);
-    let next = roll(&store, "ana", &first).await.expect("rolled");
+    let next = publish(&store, "ana", &first).await.expect("published");
     let mut node = crate::bundle::Adoption::default();
-    assert!(node.hear(in_force));
-    assert!(next > in_force, "number {next} is no later one than {in_force} at a node");
+    assert!(node.record_published(in_force));
+    assert!(next > in_force, "number {next} is not later than {in_force} at a node");
 }
--- a/valetrack/src/bundle/tests/route.rs
+++ b/valetrack/src/bundle/tests/route.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix, and even splits.
+//! Tests of routes by host and longest prefix, and of even splits.
 
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
 #[test_case("FARM.example:8080", "/a/b/c", Some("deep"); "a host in capitals with a port")]
 #[test_case("farm.example", "/a", None; "a path that is shorter than its prefix")]
 #[test_case("other.example", "/a/b/c", None; "another host")]
-fn a_route_is_found_by_host_and_longest_prefix(host: &str, path: &str, expected: Option<&str>) {
+fn route_is_found_by_host_and_longest_prefix(host: &str, path: &str, expected: Option<&str>) {
     let table: RouteTable =
         [route("wide", "farm.example", "/a/"), route("deep", "farm.example", "/a/b/")].into_iter().collect();
     assert_eq!(table.find(host, path).map(|route| &*route.name), expected);
@@ -41,9 +41,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// At any time each service has had its share to within two calls, from whatever start.
+    /// At any time, each service has had its share to within two calls, from any start.
     #[test]
-    fn shares_hold_at_any_time(weights in prop::collection::vec(1..100u32, 1..5), seed: u64, calls in 1..400u32) {
+    fn split_shares_hold_at_any_time(weights in prop::collection::vec(1..100u32, 1..5), seed: u64, calls in 1..400u32) {
         let targets = targets(&weights);
         let mut picker = SplitPicker::new(&targets, &mut fastrand::Rng::with_seed(seed));
         let mut had = vec![0u32; weights.len()];
