--- a/valetrack/src/rollout/tests.rs
+++ b/valetrack/src/rollout/tests.rs
@@ -30,7 +30,7 @@
 
 /// Returns the traffic share of each upstream: three of the old version, three of the new one, and one whose version is
 /// unknown.
-fn parts(stage: Option<Stage>) -> Vec<ServerPart> {
+fn shares_at(stage: Option<Stage>) -> Vec<ServerPart> {
     let mut book = RolloutBook::default();
     let order = RolloutOrder { service: Arc::from("lab"), version: Arc::from("v2"), within_ms: 12_000 };
     book.ordered(order, Position::new(Era::default(), 7), 0);
@@ -58,7 +58,7 @@
         ServerPart::Trial => 'T',
         ServerPart::Barred => 'B',
     };
-    assert_eq!(parts(stage).into_iter().map(letter).collect::<String>(), expected);
+    assert_eq!(shares_at(stage).into_iter().map(letter).collect::<String>(), expected);
 }
 
 #[test]
