--- a/valetrack/src/gate/cold.rs
+++ b/valetrack/src/gate/cold.rs
@@ -1,116 +1,116 @@
-//! How many calls a cold upstream gets.
+//! Limits the calls that a cold upstream receives.
 //!
-//! An upstream that has just started bears few calls a second and falls over above that. It is down
-//! then, comes back cold, is overrun again, and a service of a few of them never serves again: on a
-//! played fleet that lost its power one service answered a tenth of its calls for the rest of the day.
-//! Let in what it bears, it is warm within seconds.
+//! An upstream that has just started supports few calls per second and crashes under more. It then restarts cold and is
+//! overloaded again, so a service with few upstreams never recovers. On a fleet that had lost its power, one service
+//! answered a tenth of its calls for the rest of the day. With limited starts, an upstream is warm within seconds.
 
 use std::collections::VecDeque;
 
 use serde::Serialize;
 
-/// Span of the bound, in microseconds: a second, and a tenth for calls that are put to the upstream later
-/// than they start, since a node that is short of processor time takes some tens of milliseconds.
+/// Window of the limit: one second, plus a tenth because a node that is short of processor time sends a call to the
+/// upstream some tens of milliseconds after its start.
 const WINDOW_US: u64 = 1_100_000;
 
-/// An upstream that began at most this long before its node is new to every life of that node, in
-/// microseconds: a process that has ended takes longer to be started again.
+/// If an upstream started at most this long before its node, it is new to every incarnation of that node, since
+/// restarting a process that has ended takes longer.
 const NEW_START_US: u64 = 100_000;
 
-/// How many calls a cold upstream bears.
+/// How many calls a cold upstream supports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub struct ColdRule {
-    /// Most starts within any second while the upstream is cold; none where it bears as many as usual.
+    /// Most starts within any second while the upstream is cold; `None` if there is no special limit.
     pub starts_per_s: Option<u32>,
-    /// Most starts within the first second of a node's life: an earlier life of it may have made its
-    /// part of that second's starts.
+    /// Most starts within the first second after the node's start, since an earlier incarnation of the node may have
+    /// used a part of that second's starts.
     pub first_second: u32,
-    /// How long an upstream is cold after a start, in milliseconds; none where that is not known.
+    /// How long an upstream is cold after a start; `None` if unknown.
     pub length_ms: Option<u32>,
 }
 
-/// Bound on what a cold upstream gets, over every sliding second.
+/// Limit on the calls that a cold upstream receives, over a sliding window.
 #[derive(Debug, Clone)]
 pub struct ColdBound {
     rule: ColdRule,
-    /// Until when the upstream is cold, in microseconds.
+    /// Time until which the upstream is cold.
     until_us: u64,
-    /// When this life of the node began, in microseconds.
-    born_us: u64,
-    /// Starts within the last second, the oldest first.
+    /// Start time of the node.
+    node_start_us: u64,
+    /// Starts within the last window, oldest first.
     starts_us: VecDeque<u64>,
 }
 
 impl ColdBound {
-    /// Makes the bound of a node whose life begins at `now_us`; nothing is bounded yet.
+    /// Creates the limit of a node that starts at `now_us`; nothing is limited yet.
     pub fn new(now_us: u64) -> Self {
-        Self { rule: ColdRule::default(), until_us: 0, born_us: now_us, starts_us: VecDeque::with_capacity(64) }
+        Self { rule: ColdRule::default(), until_us: 0, node_start_us: now_us, starts_us: VecDeque::with_capacity(64) }
     }
 
-    /// Takes what a cold upstream of the service bears.
+    /// Sets how many calls a cold upstream of the service supports.
     pub fn configure(&mut self, rule: ColdRule) {
         self.rule = rule;
     }
 
-    /// Takes until when the upstream is cold; a moment that has passed says that it is warm.
+    /// Sets the time until which the upstream is cold; a time in the past means that it is warm.
     pub fn set_until(&mut self, until_us: u64) {
         self.until_us = until_us;
     }
 
-    /// Returns until when the upstream is cold, in microseconds.
+    /// Returns the time until which the upstream is cold.
     pub fn until_us(&self) -> u64 {
         self.until_us
     }
 
-    /// Returns how many calls may start at `now_us`; none where starts are not bounded.
-    pub fn left(&self, now_us: u64) -> Option<usize> {
-        let most = self.most(now_us)?;
-        Some(most.saturating_sub(self.recent(now_us).count()))
+    /// Returns how many calls may start at `now_us`; `None` if starts are not limited.
+    pub fn remaining(&self, now_us: u64) -> Option<usize> {
+        let starts_max = self.starts_max(now_us)?;
+        Some(starts_max.saturating_sub(self.recent_starts(now_us).count()))
     }
 
-    /// Returns how long the call behind `ahead` others waits for its start, in microseconds.
+    /// Returns how long the call behind `ahead` others waits for its start.
     pub fn wait_us(&self, ahead: usize, now_us: u64) -> u64 {
-        let Some(most) = self.most(now_us) else {
+        let Some(starts_max) = self.starts_max(now_us) else {
             return 0;
         };
-        let recent = self.recent(now_us).count();
-        let over = (recent + ahead + 1).saturating_sub(most);
-        if over == 0 {
+        let recent = self.recent_starts(now_us).count();
+        let excess = (recent + ahead + 1).saturating_sub(starts_max);
+        if excess == 0 {
             return 0;
         }
         let warm_us = self.until_us.saturating_sub(now_us);
-        // The starts that are out of the way then make room; those ahead make theirs a second later.
-        let free_us = match self.recent(now_us).nth(over - 1) {
+        // The starts that have left the window by then make room. If that is not enough, the calls ahead leave the
+        // window one length later.
+        let free_us = match self.recent_starts(now_us).nth(excess - 1) {
             Some(start_us) => (start_us + WINDOW_US).saturating_sub(now_us),
             None => WINDOW_US,
         };
         free_us.min(warm_us)
     }
 
-    /// Notes a start.
-    pub fn started(&mut self, now_us: u64) {
+    /// Records a start.
+    pub fn record_start(&mut self, now_us: u64) {
         while self.starts_us.front().is_some_and(|start_us| start_us + WINDOW_US <= now_us) {
             self.starts_us.pop_front();
         }
         self.starts_us.push_back(now_us);
     }
 
-    /// Returns the most starts in the second before `now_us`; none where they are not bounded.
-    fn most(&self, now_us: u64) -> Option<usize> {
+    /// Returns the most starts within the window before `now_us`; `None` if they are not limited.
+    fn starts_max(&self, now_us: u64) -> Option<usize> {
         let starts_per_s = self.rule.starts_per_s.filter(|_| now_us < self.until_us)?;
-        let young = now_us < self.born_us + WINDOW_US && !self.is_new_start();
-        let most = if young { starts_per_s.min(self.rule.first_second) } else { starts_per_s };
-        Some(most as usize)
+        let node_is_new = now_us < self.node_start_us + WINDOW_US && !self.is_new_start();
+        let starts_max = if node_is_new { starts_per_s.min(self.rule.first_second) } else { starts_per_s };
+        Some(starts_max as usize)
     }
 
-    /// Returns whether the upstream began its present start too late for an earlier life of the node to
-    /// have sent anything to it. After a loss of power of a fleet all nodes are young, and all upstreams too.
+    /// Returns whether the upstream began its present start too late for an earlier incarnation of the node to have
+    /// sent it any call. After a power loss, all nodes and all upstreams are new.
     fn is_new_start(&self) -> bool {
         let length_us = self.rule.length_ms.map(|length_ms| u64::from(length_ms) * 1000);
-        length_us.is_some_and(|length_us| self.until_us + NEW_START_US >= self.born_us + length_us)
+        length_us.is_some_and(|length_us| self.until_us + NEW_START_US >= self.node_start_us + length_us)
     }
 
-    fn recent(&self, now_us: u64) -> impl Iterator<Item = u64> + '_ {
+    fn recent_starts(&self, now_us: u64) -> impl Iterator<Item = u64> + '_ {
         self.starts_us.iter().copied().filter(move |start_us| start_us + WINDOW_US > now_us)
     }
 }
--- a/valetrack/src/gate/header.rs
+++ b/valetrack/src/gate/header.rs
@@ -1,18 +1,18 @@
-//! Which headers travel from end to end.
+//! Headers that are forwarded between callers and upstreams.
 
 use hyper::HeaderMap;
 use hyper::header::{HeaderName, HeaderValue};
 
 use super::pool::ATTEMPT_HEADER;
 
-/// Header by which a server says that it is about to stop.
+/// Header by which a server announces that it is about to stop.
 pub const LEAVING_HEADER: &str = "valetrack-leaving";
-/// Header that names the client account to upstreams; no caller's own word of it travels.
+/// Header that names the client account to upstreams; a value set by a caller is not forwarded.
 pub const ACCOUNT_HEADER: &str = "valetrack-account";
-/// Header with the chance that a repeated run made the call, in thousandths; an upstream that passes
-/// it on to the calls that it makes spares its node the guess.
+/// Header with the probability, in thousandths, that a repeated run made the call. If an upstream copies it to the
+/// calls that it makes, its node does not have to estimate the value.
 pub const REPEAT_HEADER: &str = "valetrack-repeat-permille";
-/// Headers that belong to one connection and do not travel.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
@@ -27,15 +27,15 @@
     LEAVING_HEADER,
 ];
 
-/// Returns whether a header travels from end to end.
-fn travels(name: &str) -> bool {
+/// Returns whether a header is forwarded.
+fn is_end_to_end(name: &str) -> bool {
     !HOP_HEADERS.contains(&name)
 }
 
-/// Returns the headers that travel from end to end.
+/// Returns the headers that are forwarded.
 pub fn travelling(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
     let pair = |(name, value): (&HeaderName, &HeaderValue)| {
-        travels(name.as_str()).then(|| (name.as_str().to_owned(), value.as_bytes().to_vec()))
+        is_end_to_end(name.as_str()).then(|| (name.as_str().to_owned(), value.as_bytes().to_vec()))
     };
     headers.iter().filter_map(pair).collect()
 }
--- a/valetrack/src/gate/kept.rs
+++ b/valetrack/src/gate/kept.rs
@@ -1,18 +1,16 @@
-//! Whether runs keep the speed that their machine had at their start, or follow its changes.
+//! Learns whether runs keep the speed that their machine had at their start, or follow its changes.
 //!
-//! Servers of both kinds exist: one that takes its share of the processor when a run begins, and one
-//! whose running work speeds up and slows down with the machine. The two forecasts of a run lie far
-//! apart, so each server's own finished runs decide between them. Together with the two speeds of
-//! [`super::Pace`] this brought the mean worth of a played fleet whose runs keep their speed from
-//! 0.487 to 0.578 (13 VMs, five days, two seeds each), and cost nothing on the two others.
+//! Both kinds of servers exist: some take their share of the processor when a run begins, and the work of others speeds
+//! up and slows down with the machine. The two predictions for a run differ widely, so each server's finished runs
+//! decide between them.
 
-/// Weight of one run's vote: with it, twenty runs that agree move the share from a half past 0.85.
-const VOTE_WEIGHT: f64 = 1.0 / 16.0;
-/// The machine's speeds at the start and at the end of a run must differ by this factor for the run
-/// to tell the two kinds apart: less lies within the spread of equal runs.
-const TELLING_FACTOR: f64 = 1.5;
+/// Weight of one run: twenty runs that agree move the share from 0.5 past 0.85.
+const SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
+/// Ratio between the machine's speeds at the start and the end of a run that allows a decision between the two kinds.
+/// Smaller ratios lie within the spread of equal runs.
+const SPEED_RATIO_MIN: f64 = 1.5;
 
-/// How far the runs of one server keep the speed of their start.
+/// Share of one server's runs that keep the speed of their start.
 #[derive(Debug, Clone, Copy)]
 pub struct SpeedKept {
     share: f64,
@@ -20,7 +18,7 @@
 
 impl Default for SpeedKept {
     fn default() -> Self {
-        // Nothing is known, so both forecasts count alike.
+        // Before the first sample, both predictions count alike.
         Self { share: 0.5 }
     }
 }
@@ -31,20 +29,19 @@
         self.share
     }
 
-    /// Takes a run that took `factor` times its time at full speed, on a machine that was slowed by
-    /// `start` when it began and by `end` when it ended.
-    pub fn ran(&mut self, factor: f64, start: f64, end: f64) {
-        let apart = (start / end).max(end / start);
-        if factor <= 0.0 || apart < TELLING_FACTOR {
+    /// Records a run that took `factor` times its duration at full speed, on a machine that was slowed by `start` at
+    /// its start and by `end` at its end.
+    pub fn record_run(&mut self, factor: f64, start: f64, end: f64) {
+        let ratio = (start / end).max(end / start);
+        if factor <= 0.0 || ratio < SPEED_RATIO_MIN {
             return;
         }
-        let off = |forecast: f64| (factor / forecast).ln().abs();
-        let kept = off(start) < off(f64::midpoint(start, end));
-        self.share += (f64::from(u8::from(kept)) - self.share) * VOTE_WEIGHT;
+        let error = |prediction: f64| (factor / prediction).ln().abs();
+        let kept = error(start) < error(f64::midpoint(start, end));
+        self.share += (f64::from(u8::from(kept)) - self.share) * SAMPLE_WEIGHT;
     }
 
-    /// Returns the factor by which a run was slowed on a machine with these speeds at its start and
-    /// its end.
+    /// Returns the factor by which a run was slowed, given the machine's slowdown at its start and its end.
     pub fn slowed_by(&self, start: f64, end: f64) -> f64 {
         start * self.share + f64::midpoint(start, end) * (1.0 - self.share)
     }
--- a/valetrack/src/gate/ledger.rs
+++ b/valetrack/src/gate/ledger.rs
@@ -1,29 +1,27 @@
-//! The border to the entry beside the gate, which the upstream's own calls go through.
+//! The interface to the entry beside the gate, through which the upstream makes its own calls.
 
 use std::rc::Rc;
 
-/// Keeps account of what the upstream runs, since the calls that a repeated run makes count as
-/// repeats at the services that they go to.
+/// Tracks the upstream's runs, since calls made by a repeated run count as repeats at the services that receive them.
 pub trait RunLedger {
-    /// Returns whether one more repeated run may start: whether the services that it would call have
-    /// repeats left.
+    /// Returns whether one more repeated run may start, which requires retry budget at the services that it would call.
     fn admits_repeat(&self) -> bool;
 
-    /// Takes the start of a run that is a repeat by this chance, in thousandths.
+    /// Records the start of a run that is a repeat with this probability.
     fn run_began(&self, repeat_permille: u16);
 
-    /// Takes the end of a run with the chance that it began with.
+    /// Records the end of a run, with the probability given at its start.
     fn run_ended(&self, repeat_permille: u16);
 }
 
-/// A run in progress; it has ended when this is dropped.
+/// A run in progress, which ends when this value is dropped.
 pub(super) struct LedgerEntry {
     ledger: Rc<dyn RunLedger>,
     repeat_permille: u16,
 }
 
 impl LedgerEntry {
-    /// Enters the start of a run.
+    /// Records the start of a run.
     pub(super) fn new(ledger: Rc<dyn RunLedger>, repeat_permille: u16) -> Self {
         ledger.run_began(repeat_permille);
         Self { ledger, repeat_permille }
--- a/valetrack/src/gate/message.rs
+++ b/valetrack/src/gate/message.rs
@@ -1,15 +1,15 @@
-//! Messages of the gate: what it hears, what it orders, and the load that it reports.
+//! Events and actions of the gate, and the load report that it publishes.
 
 use serde::{Deserialize, Serialize};
 
 use super::packed::PackedLoad;
 
-/// Names one attempt of one call; unique over all nodes and restarts.
+/// Identifies one attempt of one call, uniquely over all nodes and restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// Random number drawn by the entry's process at its start.
+    /// Random number that the entry's process draws when it starts.
     pub entry: u64,
-    /// Counter of the entry's process.
+    /// Counter within the entry's process.
     pub seq: u64,
 }
 
@@ -19,73 +19,72 @@
     }
 }
 
-/// Load of one server as its owner knows it.
+/// Load of one server as its owner measures it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(from = "PackedLoad", into = "PackedLoad")]
 pub struct LoadReport {
-    /// Calls that may run at once now, in slots; zero where none may start for some tenths of a second,
-    /// since the server is cold and has got what it bears.
+    /// Number of calls that may run at once now; zero while no call may start for some tenths of a second because the
+    /// server is cold and has already received the calls that it supports.
     pub limit: u16,
-    /// Calls that run now.
+    /// Calls that are running.
     pub in_flight: u16,
     /// Calls that wait for a slot.
     pub queued: u16,
-    /// Smoothed service time, in microseconds.
+    /// Smoothed service time.
     pub service_us: u32,
-    /// Whether running calls have made no progress for much longer than usual.
+    /// Whether the running calls have made no progress for much longer than usual.
     pub stalled: bool,
-    /// Whether the server takes no new work.
+    /// Whether the server accepts no new work.
     pub leaving: bool,
-    /// Time that a run takes that meets the machine at full speed, in hundredths of the expected
-    /// time; zero where nothing is known.
+    /// Duration of a run while the machine is at full speed, as a percentage of the expected duration; zero if unknown.
     pub fast_percent: u16,
-    /// The same of a run that meets the machine in a slow episode.
+    /// Duration of a run during a slow episode, as a percentage of the expected duration; zero if unknown.
     pub slow_percent: u16,
-    /// Chance that the machine is in a slow episode now, in hundredths.
+    /// Probability that the machine is in a slow episode now.
     pub slow_chance_percent: u8,
-    /// Share of the time that the machine is in one, in hundredths.
+    /// Share of time that the machine spends in slow episodes.
     pub slow_share_percent: u8,
-    /// Time for which its present speed is likely to go on, in milliseconds; zero where unknown.
+    /// Expected remaining duration of the machine's present speed; zero if unknown.
     pub slow_lasts_ms: u16,
-    /// Runs that keep the speed of their start, in hundredths.
+    /// Share of runs that keep the speed that the machine had at their start.
     pub kept_percent: u8,
-    /// Runs that fail, in hundredths.
+    /// Share of runs that fail.
     pub failing_percent: u8,
 }
 
-/// What came of cancelling an attempt at its owner.
+/// Result of cancelling an attempt at its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelResult {
-    /// The attempt has not started, and never will.
+    /// The attempt has not started and never will.
     NeverStarted,
-    /// The upstream was reached by it and rejected it; it has not run and never will.
+    /// The attempt reached the upstream, which rejected it. It has not run and never will.
     Rejected,
-    /// The attempt has started; its outcome is not known to be undone.
+    /// The attempt has started and may have taken effect.
     Started,
 }
 
-/// Why an owner gave a call back without starting it.
+/// Reason for which an owner declined an attempt without running it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BounceReason {
     /// No slot would be free in time.
     Full,
     /// The server is leaving.
     Leaving,
-    /// Running calls make no progress, so the wait cannot be told.
+    /// The running calls make no progress, so the wait cannot be estimated.
     Stalled,
-    /// The attempt was cancelled before it came, or came twice.
+    /// The attempt was cancelled before it arrived, or arrived twice.
     Cancelled,
-    /// The call would not end in time here, and another server may be faster.
+    /// The call would miss its objective here, and another server may be faster.
     Slow,
-    /// The server took no connection.
+    /// The server accepted no connection.
     Refused,
-    /// Nothing was heard of the server yet.
+    /// The server has not announced itself yet, or counts as down, or the VM was suspended while the attempt waited.
     NotReady,
-    /// The call reached the server, which said that it did not run it.
+    /// The call reached the server, which answered that it did not run it.
     Rejected,
     /// The server's failure domain is evacuated.
     Evacuated,
-    /// The call is a repeat, and a service that its run would call has no budget left for repeats.
+    /// The call is a repeat, and a service that its run would call has no retry budget left.
     RepeatRefused,
     /// The call has crashed too many upstreams.
     Quarantined,
@@ -94,102 +93,102 @@
 /// How long an entry lets an attempt wait for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Patience {
-    /// Not at all: a hedge is worth a free slot, but no place in a queue.
+    /// The attempt starts at once or not at all. Hedges use this, since they justify a free slot but no place in a
+    /// queue.
     None,
-    /// Shortly: another server looks as if it had room.
+    /// The attempt waits briefly, because another server appears to have a free slot.
     Short,
-    /// As long as the queue is bounded to, unless the server stalls.
+    /// The attempt waits up to the queue's limit, unless the server stalls.
     Long,
-    /// As long as the queue is bounded to, come what may: every server was tried.
+    /// The attempt waits up to an extended limit, even if the server stalls, because every other server was tried.
     Last,
 }
 
-/// Thousandths in one.
+/// Scale of values in thousandths.
 pub const PERMILLE: f64 = 1_000.0;
 
-/// What a call is worth the most by, and how long it should run.
+/// Objective of a call and the expected duration of its run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Objective {
-    /// Time from now within which an answer is worth the most, in microseconds.
+    /// Time from now until the objective.
     pub left_us: u64,
-    /// Time that the run is expected to take on a usual server, in microseconds; zero when unknown.
+    /// Expected duration of the run on an average server; zero if unknown.
     pub work_us: u64,
-    /// What the call is worth at the best other server that the entry may ask, in thousandths of
-    /// an answer in time; zero where there is none.
+    /// Utility of the call at the best other server that the entry may ask, in thousandths of the utility of an answer
+    /// in time; zero if there is no other server.
     pub elsewhere_permille: u16,
-    /// Longest wait for a slot, in microseconds.
+    /// Longest wait for a slot.
     pub wait_max_us: u64,
 }
 
-/// How long one run took.
+/// Measured durations of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunTimes {
-    /// Time from the start to the whole answer, in microseconds.
+    /// Time from the start to the complete answer.
     pub ran_us: u64,
-    /// The same as it would have been on a machine that is not slowed, in microseconds.
+    /// Estimated duration of the same run on a machine that is not slowed.
     pub unslowed_us: u64,
-    /// Time that the entry expected on a usual server, in microseconds; zero when unknown.
+    /// Duration that the entry expected on an average server; zero if unknown.
     pub work_us: u64,
-    /// Factor by which the machine was slowed at the start, in hundredths; zero when unknown.
+    /// Slowdown of the machine at the start; zero if unknown.
     pub start_percent: u16,
-    /// Factor by which it was slowed at the end, in hundredths; zero when unknown.
+    /// Slowdown of the machine at the end; zero if unknown.
     pub end_percent: u16,
 }
 
-/// Something that happened to the gate.
+/// Input of the gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GateEvent {
-    /// A call came.
+    /// An attempt arrived.
     Arrive {
         /// The attempt.
         attempt: AttemptId,
-        /// Latest useful end on this process's monotonic clock, in microseconds.
+        /// Deadline of the call on this process's monotonic clock.
         deadline_us: u64,
-        /// How long the entry lets it wait here.
+        /// How long the entry lets the attempt wait.
         patience: Patience,
         /// Rank in the queue; zero goes first.
         priority: u8,
-        /// When an answer is worth the most and what the run is expected to take; none where the
-        /// gate's own bounds hold.
+        /// Objective and expected duration of the call; `None` if the gate's own limits apply.
         objective: Option<Objective>,
     },
-    /// A started attempt ended, whether well or not.
+    /// A started attempt ended, successfully or not.
     Done {
         /// The attempt.
         attempt: AttemptId,
-        /// Whether the server gave a whole answer that is not a failure of its own.
+        /// Whether the server returned a complete answer that reports no failure of its own.
         healthy: bool,
     },
-    /// The server took no connection for a started attempt, or rejected it, so nothing ran.
+    /// The server accepted no connection for a started attempt, or rejected the attempt, so nothing ran.
     Refused {
         /// The attempt.
         attempt: AttemptId,
-        /// Which of both.
+        /// Whether the connection was refused or the attempt rejected.
         reason: BounceReason,
     },
-    /// The entry wants an attempt cancelled.
+    /// The entry cancels an attempt.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
     /// Time has passed.
     Tick,
-    /// The server is to leave.
+    /// The server must leave.
     Drain,
-    /// The server's failure domain is to get nothing new.
+    /// The server's failure domain is evacuated and must receive no new work.
     Evacuate,
-    /// The server's failure domain is in service again.
+    /// The evacuation of the server's failure domain has ended.
     Return {
-        /// Until when the server is taken for cold, on this process's monotonic clock, in microseconds.
+        /// End of the period in which the server counts as cold, on this process's monotonic clock.
         cold_until_us: u64,
     },
-    /// Another start of the server takes work.
+    /// A new start of the server accepts work.
     Open,
     /// The VM was suspended until now.
     Resumed,
 }
 
-/// What the shell of the gate must do.
+/// Output of the gate, which the I/O shell must carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GateAction {
     /// Send the call to the server.
@@ -197,18 +196,18 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Give the call back; it never starts here.
+    /// Decline the attempt, which never starts here.
     Bounce {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Reason for declining.
         reason: BounceReason,
     },
-    /// Report the result of a cancel.
+    /// Report the result of a cancellation.
     ReportCancel {
         /// The attempt.
         attempt: AttemptId,
-        /// The result.
+        /// Result of the cancellation.
         result: CancelResult,
     },
 }
--- a/valetrack/src/gate/mod.rs
+++ b/valetrack/src/gate/mod.rs
@@ -1,8 +1,8 @@
-//! The gate before this VM's server: slots, a short queue, warm connections, drain.
+//! The gate in front of this VM's server: slots, a short queue, pooled connections and draining.
 //!
-//! Contract: all work reaches the server through its gate, so what the gate says of slots and of
-//! attempts is exact. The server never runs more than its slots; an attempt starts at most once;
-//! an attempt that was bounced, or of which [`CancelResult::NeverStarted`] was said, never starts.
+//! All work reaches the server through its gate, so the slots and attempts that the gate reports are exact. The server
+//! never runs more calls than it has slots, an attempt starts at most once, and an attempt that was declined, or for
+//! which [`CancelResult::NeverStarted`] was returned, never starts.
 
 mod cold;
 mod crash;
@@ -38,8 +38,8 @@
 pub use objective::objective;
 pub use origin::OriginTracker;
 pub use outage::Outage;
-pub use pace::{Pace, SLOWDOWN_LASTS_US, fading, time_worth};
+pub use pace::{Pace, SLOWDOWN_DURATION_US, fading, utility_at};
 pub use protocol::{Classified, Health, HostLoad, NativeUpstream, UpstreamProtocol};
 pub use speed::Speed;
-pub use state::{Gate, GateConfig, MEMORY_US};
+pub use state::{Gate, GateConfig, RESULT_RETENTION_US};
 pub use upstream::{Announcement, UpstreamPhase, UpstreamState};
--- a/valetrack/src/gate/origin.rs
+++ b/valetrack/src/gate/origin.rs
@@ -1,37 +1,36 @@
-//! Tells calls that servers make on their own from those of callers, by where they begin.
+//! Distinguishes calls made by services from those of callers, by the VMs at which they enter.
 //!
-//! Callers of a route come in at VMs of every service, but the calls that services make begin beside
-//! those that make them, and nowhere else. They matter more than they look: whoever made one holds a
-//! slot elsewhere until it is answered, and fails when it is refused.
+//! Calls of callers enter at the VMs of every service, but a call made by a service enters only beside the service that
+//! made it. Such a call deserves priority: the run that made it holds a slot elsewhere until the answer arrives, and
+//! fails if the call is declined.
 //!
-//! What is learned is also unlearned: only the latest calls of a route count, and a few from elsewhere
-//! change nothing. On a played fleet where two services made calls to a third from some moment on, the
-//! rule that wanted one service alone took them for callers' for the rest of the day: in a burst 418 of
-//! 1,652 were refused and 459 runs that waited for them thrown away, where none were otherwise.
+//! The classification adapts: only the latest calls of a route count, and a few stray calls do not change it. A rule
+//! that required a single calling service failed on a fleet where two services began to call a third. It took their
+//! calls for callers' for the rest of the day, and in a burst 418 of 1,652 were refused and 459 runs that waited for
+//! them were thrown away.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Calls of a route before it is judged: with fewer, luck says too much.
+/// Calls of a route before it is classified; fewer could be chance.
 const CALLS_MIN: f64 = 20.0;
-/// Calls of a route that count; with as many, the weight of each is halved, so that what was seen some
-/// seconds ago fades under load.
+/// Calls of a route after which all weights are halved, so that old observations fade within seconds under load.
 const CALLS_MAX: f64 = 512.0;
-/// Calls of all routes that count for where calls begin at all.
+/// Calls of all routes after which the weights of the overall distribution are halved.
 const TOTAL_MAX: f64 = 4_096.0;
-/// A service from which fewer than this share of the calls come that callers would make beside it makes
-/// none of its own.
+/// A service counts as not making a route's calls if fewer than this share of the expected callers' calls enter beside
+/// it.
 const ABSENT_SHARE: f64 = 0.1;
-/// Share of a route's calls that may come from elsewhere although services make them: operators try
-/// routes by hand, and a VM's service may change.
-const ODD_SHARE: f64 = 0.02;
-/// How much likelier it must be that services make the calls than that callers do, as a logarithm: a
-/// million times, since there are some hundred routes, each judged at each call.
+/// Share of a route's calls that may enter elsewhere although services make them: operators try routes by hand, and a
+/// VM may change its service.
+const STRAY_SHARE: f64 = 0.02;
+/// Natural logarithm of the likelihood ratio that a classification requires, which is a million: several hundred routes
+/// are each evaluated at every call.
 const EVIDENCE_MIN: f64 = 13.8;
-/// Most routes that are remembered; a bundle names some hundreds.
+/// Largest number of tracked routes; a bundle names several hundred.
 const ROUTES_MAX: usize = 4_096;
 
-/// Calls by the service beside which they began; the older ones count less.
+/// Weighted counts of calls by the service beside which they entered.
 #[derive(Debug, Clone, Default)]
 struct Origins {
     calls: Vec<(Arc<str>, f64)>,
@@ -42,41 +41,41 @@
     fn add(&mut self, service: &Arc<str>, total_max: f64) {
         if self.total >= total_max {
             self.calls.iter_mut().for_each(|(_, calls)| *calls /= 2.0);
-            // Less than one call is no call.
+            // Counts below one are dropped.
             self.calls.retain(|(_, calls)| *calls >= 1.0);
             self.total = self.calls.iter().map(|(_, calls)| calls).sum();
         }
-        match self.calls.iter_mut().find(|(known, _)| known == service) {
+        match self.calls.iter_mut().find(|(other, _)| other == service) {
             Some((_, calls)) => *calls += 1.0,
             None => self.calls.push((service.clone(), 1.0)),
         }
         self.total += 1.0;
     }
 
-    fn of(&self, service: &str) -> f64 {
-        self.calls.iter().find(|(known, _)| **known == *service).map_or(0.0, |(_, calls)| *calls)
+    fn count(&self, service: &str) -> f64 {
+        self.calls.iter().find(|(other, _)| **other == *service).map_or(0.0, |(_, calls)| *calls)
     }
 }
 
-/// What one owner has seen of where calls begin.
+/// Where calls entered, as observed by one owner.
 #[derive(Debug, Default)]
 pub struct OriginTracker {
     routes: HashMap<Arc<str>, Origins>,
-    /// Where calls of any route began.
+    /// Distribution of the calls of all routes.
     all: Origins,
-    /// VMs of each service, as far as they are known.
+    /// Number of VMs per service, as far as recorded.
     vms: HashMap<Arc<str>, u32>,
 }
 
 impl OriginTracker {
-    /// Takes how many VMs each service has: callers come in at all of them alike.
+    /// Sets the number of VMs per service; callers' calls enter at all VMs alike.
     pub fn set_vms(&mut self, vms: HashMap<Arc<str>, u32>) {
         self.vms = vms;
     }
 
-    /// Takes a call of `route` that began beside an upstream of `service`; returns whether the route is one
-    /// that services call on their own, and none where too little was seen of it to tell.
-    pub fn judge(&mut self, route: &Arc<str>, service: &Arc<str>) -> Option<bool> {
+    /// Records a call of `route` that entered beside an upstream of `service`, and returns whether services make the
+    /// calls of that route; `None` if the observations are not sufficient.
+    pub fn record_and_classify(&mut self, route: &Arc<str>, service: &Arc<str>) -> Option<bool> {
         self.all.add(service, TOTAL_MAX);
         if self.routes.len() >= ROUTES_MAX && !self.routes.contains_key(route) {
             return None;
@@ -87,36 +86,37 @@
         (evidence.abs() >= EVIDENCE_MIN).then_some(evidence > 0.0)
     }
 
-    /// Returns how much likelier the origins of a route's calls are where services make them than where
-    /// callers do, as a logarithm; zero where nothing can be told.
+    /// Returns the logarithm of the likelihood ratio between calls made by services and calls made by callers; zero if
+    /// nothing can be concluded.
     fn evidence(&self, origins: &Origins) -> f64 {
         if self.all.calls.len() < 2 {
             return 0.0;
         }
         let weights: f64 = self.all.calls.iter().map(|(service, calls)| self.weight(service, *calls)).sum();
-        // Callers' share of calls from services that make none, and how many calls came from them.
-        let (mut expected, mut odd) = (0.0, 0.0);
+        // Callers' expected share beside services that do not make the route's calls, and the calls that did enter
+        // there.
+        let (mut expected, mut stray) = (0.0, 0.0);
         for (service, calls) in &self.all.calls {
             let share = self.weight(service, *calls) / weights;
-            let came = origins.of(service);
-            if came <= origins.total * share * ABSENT_SHARE {
+            let count = origins.count(service);
+            if count <= origins.total * share * ABSENT_SHARE {
                 expected += share;
-                odd += came;
+                stray += count;
             }
         }
         if expected == 0.0 {
-            // They come from beside every service.
+            // The calls enter beside every service.
             return f64::NEG_INFINITY;
         }
-        if expected <= ODD_SHARE || expected >= 1.0 {
+        if expected <= STRAY_SHARE || expected >= 1.0 {
             return 0.0;
         }
-        let usual = origins.total - odd;
-        odd * (ODD_SHARE / expected).ln() + usual * ((1.0 - ODD_SHARE) / (1.0 - expected)).ln()
+        let regular = origins.total - stray;
+        stray * (STRAY_SHARE / expected).ln() + regular * ((1.0 - STRAY_SHARE) / (1.0 - expected)).ln()
     }
 
-    /// Returns how many of callers' calls begin beside a service: by its VMs, or as the calls of all
-    /// routes do where these are not known.
+    /// Returns the weight of a service among callers' calls: its number of VMs, or its share of all calls if the VMs
+    /// are unknown.
     fn weight(&self, service: &str, calls: f64) -> f64 {
         self.vms.get(service).map_or(if self.vms.is_empty() { calls } else { 0.0 }, |vms| f64::from(*vms))
     }
--- a/valetrack/src/gate/packed.rs
+++ b/valetrack/src/gate/packed.rs
@@ -1,26 +1,26 @@
-//! A load report as it travels: each figure in as few bytes as its use needs.
+//! Compact wire format of a load report.
 
 use serde::{Deserialize, Serialize};
 
 use super::message::LoadReport;
 
-/// Flag of a server that stalls.
+/// Flag of a stalled server.
 const STALLED: u8 = 1;
-/// Flag of a server that takes no new work.
+/// Flag of a server that accepts no new work.
 const LEAVING: u8 = 2;
-/// Place of the share of kept speeds in its byte, behind the flags.
+/// Bit position of the share of kept speeds, above the flags.
 const KEPT_SHIFT: u32 = 2;
-/// Place of the share of failing runs in the same byte.
+/// Bit position of the share of failing runs, in the same byte.
 const FAILING_SHIFT: u32 = 5;
-/// Largest value of a share in three bits.
+/// Largest value that fits into three bits.
 const THREE_BITS: u8 = 7;
-/// Largest value of a share in four bits.
+/// Largest value that fits into four bits.
 const FOUR_BITS: u8 = 15;
-/// Hundredths in the unit of a factor: a tenth is finer than any pick needs.
+/// Unit of a slowdown factor: placement needs no finer resolution than a tenth.
 const FACTOR_UNIT_PERCENT: u16 = 10;
-/// Milliseconds in the unit of an episode's rest.
+/// Unit of the remaining duration of a speed.
 const LASTS_UNIT_MS: u16 = 10;
-/// Hundredths in one.
+/// Scale of percentages.
 const PERCENT: f64 = 100.0;
 
 /// A load report on the wire.
@@ -30,12 +30,12 @@
     in_flight: u16,
     queued: u16,
     service_us: u32,
-    /// Flags, the share of runs that keep their speed, and the square root of the share of runs that
-    /// fail: of that, small values are told apart more finely than large ones.
+    /// Flags, the share of runs that keep their speed, and the square root of the share of runs that fail. The root
+    /// gives small shares a finer resolution.
     flags: u8,
     fast: u8,
     slow: u8,
-    /// Chance and share of slow episodes, in four bits each.
+    /// Probability and share of slow episodes, in four bits each.
     slow_times: u8,
     lasts: u8,
 }
@@ -43,28 +43,28 @@
 impl From<LoadReport> for PackedLoad {
     fn from(load: LoadReport) -> Self {
         let flag = |set: bool, flag: u8| if set { flag } else { 0 };
-        let kept = in_steps(share(load.kept_percent), THREE_BITS) << KEPT_SHIFT;
-        let failing = in_steps(share(load.failing_percent).sqrt(), THREE_BITS) << FAILING_SHIFT;
-        let slow_chance = in_steps(share(load.slow_chance_percent), FOUR_BITS);
-        let slow_share = in_steps(share(load.slow_share_percent), FOUR_BITS);
+        let kept = to_steps(share(load.kept_percent), THREE_BITS) << KEPT_SHIFT;
+        let failing = to_steps(share(load.failing_percent).sqrt(), THREE_BITS) << FAILING_SHIFT;
+        let slow_chance = to_steps(share(load.slow_chance_percent), FOUR_BITS);
+        let slow_share = to_steps(share(load.slow_share_percent), FOUR_BITS);
         Self {
             limit: load.limit,
             in_flight: load.in_flight,
             queued: load.queued,
             service_us: load.service_us,
             flags: flag(load.stalled, STALLED) | flag(load.leaving, LEAVING) | kept | failing,
-            fast: in_units(load.fast_percent, FACTOR_UNIT_PERCENT),
-            slow: in_units(load.slow_percent, FACTOR_UNIT_PERCENT),
+            fast: to_units(load.fast_percent, FACTOR_UNIT_PERCENT),
+            slow: to_units(load.slow_percent, FACTOR_UNIT_PERCENT),
             slow_times: slow_chance | slow_share << 4,
-            lasts: in_units(load.slow_lasts_ms, LASTS_UNIT_MS),
+            lasts: to_units(load.slow_lasts_ms, LASTS_UNIT_MS),
         }
     }
 }
 
 impl From<PackedLoad> for LoadReport {
     fn from(packed: PackedLoad) -> Self {
-        let kept = of_steps(packed.flags >> KEPT_SHIFT, THREE_BITS);
-        let failing = of_steps(packed.flags >> FAILING_SHIFT, THREE_BITS).powi(2);
+        let kept = from_steps(packed.flags >> KEPT_SHIFT, THREE_BITS);
+        let failing = from_steps(packed.flags >> FAILING_SHIFT, THREE_BITS).powi(2);
         Self {
             limit: packed.limit,
             in_flight: packed.in_flight,
@@ -74,8 +74,8 @@
             leaving: packed.flags & LEAVING != 0,
             fast_percent: u16::from(packed.fast) * FACTOR_UNIT_PERCENT,
             slow_percent: u16::from(packed.slow) * FACTOR_UNIT_PERCENT,
-            slow_chance_percent: percent(of_steps(packed.slow_times, FOUR_BITS)),
-            slow_share_percent: percent(of_steps(packed.slow_times >> 4, FOUR_BITS)),
+            slow_chance_percent: percent(from_steps(packed.slow_times, FOUR_BITS)),
+            slow_share_percent: percent(from_steps(packed.slow_times >> 4, FOUR_BITS)),
             slow_lasts_ms: u16::from(packed.lasts) * LASTS_UNIT_MS,
             kept_percent: percent(kept),
             failing_percent: percent(failing),
@@ -91,17 +91,17 @@
     (share * PERCENT).round() as u8
 }
 
-/// Rounds a share to steps, of which `most` are one.
-fn in_steps(share: f64, most: u8) -> u8 {
-    (share.clamp(0.0, 1.0) * f64::from(most)).round() as u8
+/// Quantizes a share to steps from zero to `max`.
+fn to_steps(share: f64, max: u8) -> u8 {
+    (share.clamp(0.0, 1.0) * f64::from(max)).round() as u8
 }
 
-/// Reads a share from the lowest bits.
-fn of_steps(steps: u8, most: u8) -> f64 {
-    f64::from(steps & most) / f64::from(most)
+/// Decodes a share from the lowest bits.
+fn from_steps(steps: u8, max: u8) -> f64 {
+    f64::from(steps & max) / f64::from(max)
 }
 
-/// Rounds to whole units; what is over the range counts as its end.
-fn in_units(figure: u16, unit: u16) -> u8 {
-    (figure.saturating_add(unit / 2) / unit).min(u16::from(u8::MAX)) as u8
+/// Rounds to whole units; values beyond the range become its maximum.
+fn to_units(value: u16, unit: u16) -> u8 {
+    (value.saturating_add(unit / 2) / unit).min(u16::from(u8::MAX)) as u8
 }
--- a/valetrack/src/gate/pool.rs
+++ b/valetrack/src/gate/pool.rs
@@ -1,4 +1,4 @@
-//! Warm connections to this VM's server.
+//! Pooled connections to this VM's server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,96 +19,95 @@
 use crate::crash::Down;
 use crate::link::message::CallHead;
 
-/// Header that names the attempt to the server; a server may send it back.
+/// Header with the attempt's id; a server may echo it.
 pub const ATTEMPT_HEADER: &str = "valetrack-attempt";
-/// Time limit of a new connection, in milliseconds.
+/// Timeout for opening a connection.
 const CONNECT_MS: u64 = 500;
-/// Time limit of a health check, in milliseconds: a check that waits for a slot tells nothing.
+/// Timeout of a health check: a check that waits for a slot is useless.
 const HEALTH_MS: u64 = 500;
-/// Time limit of a question for the machine's speed, in milliseconds: one that waits for a slot
-/// comes too late for the call that asks.
+/// Timeout of a request for the machine's speed: an answer that waits for a slot comes too late for the call that needs
+/// it.
 const LOAD_MS: u64 = 8;
-/// Time within which a connection must be ready again after a whole answer, in milliseconds.
+/// Time within which a connection must be ready again after a complete answer.
 const READY_MS: u64 = 1;
 
-/// How a call to the server may fail.
+/// Failure of an exchange with the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerError {
-    /// The server never got the call.
+    /// The server did not receive the call.
     NotStarted,
-    /// The server got it, and no whole answer came.
+    /// The server received the call but returned no complete answer.
     Broken,
-    /// The answer is over the cap.
+    /// The answer exceeds the size limit.
     TooLarge,
     /// The answer belongs to another attempt.
     Misdirected,
-    /// The server says that it did not run the call and will not.
+    /// The server answered that it did not run the call and never will.
     Rejected(BounceReason),
 }
 
-/// What came of a question for the speed of a server's machine.
+/// Result of a request for the speed of a server's machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineAnswer {
-    /// What it tells.
+    /// The machine reported its load.
     Load {
-        /// Its load.
+        /// The reported load.
         load: HostLoad,
-        /// How much longer the server is cold, in milliseconds, if it says so.
+        /// Remaining time for which the server is cold, if reported.
         cold_ms: Option<u64>,
     },
-    /// An answer that tells no load.
-    Untold,
-    /// No whole answer in time.
+    /// The answer contains no load.
+    NoLoad,
+    /// No complete answer arrived in time.
     None,
 }
 
-/// A whole answer of the server.
+/// A complete answer of the server.
 #[derive(Debug)]
 pub struct ServerAnswer {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A connection that waits for its next call.
+/// An idle connection.
 struct Idle {
     sender: Sender,
     since: Moment,
 }
 
-/// Connections that wait for their next call.
+/// Pool of idle connections to the server.
 pub struct ServerPool {
     addr: SocketAddr,
     protocol: Arc<dyn UpstreamProtocol>,
     idle: std::cell::RefCell<Vec<Idle>>,
-    /// The connection for questions of the machine's speed.
-    questions: std::cell::RefCell<Option<Sender>>,
+    /// Connection that is reserved for requests for the machine's speed.
+    load_connection: std::cell::RefCell<Option<Sender>>,
 }
 
 impl ServerPool {
-    /// Makes an empty pool.
+    /// Creates an empty pool.
     pub fn new(addr: SocketAddr, protocol: Arc<dyn UpstreamProtocol>) -> Self {
-        Self { addr, protocol, idle: Default::default(), questions: Default::default() }
+        Self { addr, protocol, idle: Default::default(), load_connection: Default::default() }
     }
 
-    /// Returns how calls are put to the server and its answers are read.
+    /// Returns the protocol between the node and the server.
     pub fn protocol(&self) -> &dyn UpstreamProtocol {
         &*self.protocol
     }
 
-    /// Closes every connection that waits; what was sent to an earlier start of the server says
-    /// nothing about the next one.
+    /// Closes all idle connections, since a new start of the server cannot use those of an earlier one.
     pub fn clear(&self) {
         self.idle.borrow_mut().clear();
-        self.questions.borrow_mut().take();
+        self.load_connection.borrow_mut().take();
     }
 
-    /// Opens connections ahead of calls until `count` wait.
+    /// Opens connections ahead of calls until `count` are idle.
     pub async fn warm(&self, count: usize) {
         if self.protocol.reuse_within().is_some() {
             return;
@@ -125,16 +124,15 @@
         self.idle.borrow_mut().push(Idle { sender, since: Moment::now() });
     }
 
-    /// Makes one exchange.
+    /// Performs one exchange.
     ///
-    /// A connection goes back to the pool only after its answer came whole; one that is dropped
-    /// in the middle of a call is closed.
+    /// A connection returns to the pool only after a complete answer. If the exchange is dropped midway, its connection
+    /// is closed.
     ///
     /// # Errors
     ///
-    /// Returns [`ServerError::NotStarted`] only when not a byte of the call reached a connection
-    /// that was open, and [`ServerError::Rejected`] when the server itself says that it did not
-    /// run the call.
+    /// Returns [`ServerError::NotStarted`] only if no byte of the call reached an open connection, and
+    /// [`ServerError::Rejected`] if the server itself answered that it did not run the call.
     pub async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
@@ -151,7 +149,7 @@
             Classified::Unusable => return Err(ServerError::Broken),
         }
         let body = read_body(body, cap_bytes).await?;
-        // Bytes behind the answer close the connection; let that be seen before it is used again.
+        // Extra bytes after the answer close the connection. Yielding lets the connection task read them first.
         tokio::task::yield_now().await;
         let ready = timeout(Duration::from_millis(READY_MS), sender.ready()).await;
         if ready.is_ok_and(|ready| ready.is_ok()) {
@@ -160,29 +158,28 @@
         Ok(ServerAnswer { status, headers: head.headers, body })
     }
 
-    /// Asks the server for its health on a connection of its own; none when no whole answer
-    /// came in time.
+    /// Requests the server's health over a new connection; `None` if no complete answer arrived in time.
     pub async fn health(&self, path: &str) -> Option<Health> {
         let request = self.health_request(path)?;
-        let asked = async {
+        let response = async {
             let mut sender = self.connect().await?;
             let answer = sender.send_request(request).await.ok()?;
             self.protocol.health(answer.status().as_u16(), answer.headers())
         };
-        timeout(Duration::from_millis(HEALTH_MS), asked).await.ok()?
+        timeout(Duration::from_millis(HEALTH_MS), response).await.ok()?
     }
 
-    /// Asks the server's machine for its load over a connection kept for that.
+    /// Requests the load of the server's machine over the connection reserved for that.
     pub async fn machine_load(&self, path: &str) -> MachineAnswer {
-        match timeout(Duration::from_millis(LOAD_MS), self.ask_machine(path)).await {
+        match timeout(Duration::from_millis(LOAD_MS), self.request_load(path)).await {
             Ok(Some(answer)) => answer,
             Ok(None) | Err(_) => MachineAnswer::None,
         }
     }
 
-    /// Returns what the machine says, if a whole answer came.
-    async fn ask_machine(&self, path: &str) -> Option<MachineAnswer> {
-        let kept = self.questions.borrow_mut().take().filter(Sender::is_ready);
+    /// Returns the machine's reply, or `None` if no complete answer arrived.
+    async fn request_load(&self, path: &str) -> Option<MachineAnswer> {
+        let kept = self.load_connection.borrow_mut().take().filter(Sender::is_ready);
         let request = self.health_request(path)?;
         let mut sender = match kept {
             Some(sender) => sender,
@@ -193,8 +190,8 @@
         let health = self.protocol.health(answer.status().as_u16(), answer.headers());
         let cold_ms = health.and_then(|health| health.cold_ms);
         let _whole = answer.into_body().collect().await.ok()?;
-        *self.questions.borrow_mut() = Some(sender);
-        Some(load.map_or(MachineAnswer::Untold, |load| MachineAnswer::Load { load, cold_ms }))
+        *self.load_connection.borrow_mut() = Some(sender);
+        Some(load.map_or(MachineAnswer::NoLoad, |load| MachineAnswer::Load { load, cold_ms }))
     }
 
     async fn send(
@@ -212,7 +209,7 @@
             match sender.try_send_request(request).await {
                 Ok(answer) => return Ok((sender, answer)),
                 Err(mut error) => {
-                    // A request that comes back was not written, so another connection may have it.
+                    // A returned request was not written, so it may be sent on another connection.
                     let Some(unsent) = error.take_message() else {
                         return Err(ServerError::Broken);
                     };
@@ -225,9 +222,9 @@
         }
     }
 
-    /// Returns how the server shows that it is down: its port is closed, or whoever listens there for it closes
-    /// the connection in place of an answer to a health check. Silence says nothing.
-    pub async fn down(&self, health_path: Option<&str>) -> Option<Down> {
+    /// Returns how the server shows that it is down: its port is closed, or a listener in its place closes the
+    /// connection instead of answering a health check. A missing answer proves nothing.
+    pub async fn check_down(&self, health_path: Option<&str>) -> Option<Down> {
         let connecting = timeout(Duration::from_millis(CONNECT_MS), TcpStream::connect(self.addr)).await;
         let stream = match connecting {
             Ok(Ok(stream)) => stream,
@@ -235,13 +232,13 @@
             Err(_) => return None,
         };
         let request = self.health_request(health_path?)?;
-        let asked = async {
+        let response = async {
             let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
             tokio::spawn(connection);
             sender.send_request(request).await
         };
-        let asked = timeout(Duration::from_millis(HEALTH_MS), asked).await;
-        matches!(asked, Ok(Err(_))).then_some(Down::Resets)
+        let response = timeout(Duration::from_millis(HEALTH_MS), response).await;
+        matches!(response, Ok(Err(_))).then_some(Down::Resets)
     }
 
     fn health_request(&self, path: &str) -> Option<Request<Full<Bytes>>> {
@@ -264,7 +261,7 @@
         let stream = timeout(Duration::from_millis(CONNECT_MS), connecting).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
-        // The task ends by itself when its sender is dropped or the server closes.
+        // The task ends when its sender is dropped or the server closes the connection.
         tokio::spawn(connection);
         Some(sender)
     }
--- a/valetrack/src/gate/protocol.rs
+++ b/valetrack/src/gate/protocol.rs
@@ -1,4 +1,4 @@
-//! The border to this VM's upstream: how calls are put to it and how its answers are read.
+//! The interface to this VM's upstream: how calls are sent to it and how its answers are read.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,66 +12,66 @@
 use super::pool::ATTEMPT_HEADER;
 use crate::link::message::CallHead;
 
-/// What the head of an upstream's answer says of the call.
+/// What the head of an upstream's answer means for the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Classified {
     /// The upstream ran the call, and this is its answer.
     Ran,
-    /// The upstream did not run the call and will not.
+    /// The upstream did not run the call and never will.
     NotStarted(BounceReason),
     /// The answer belongs to another call.
     Misdirected,
-    /// The answer cannot be passed on as it stands; the call may have run.
+    /// The answer cannot be forwarded as it is; the call may have run.
     Unusable,
 }
 
-/// What an upstream says of its machine.
+/// Load that an upstream reports for its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostLoad {
     /// Calls that wait inside the upstream.
     pub waiting: u16,
-    /// Time that work takes now, in hundredths of the usual time.
+    /// Present duration of work, as a percentage of its usual duration.
     pub slowdown_percent: u32,
 }
 
-/// What a health check says of an upstream.
+/// Result of an upstream's health check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Health {
     /// Id of the upstream that answered.
     pub id: Arc<str>,
-    /// Whether it takes work.
+    /// Whether the upstream accepts work.
     pub ready: bool,
-    /// How much longer it is cold, in milliseconds; none where it does not say.
+    /// Remaining time for which the upstream is cold; `None` if not reported.
     pub cold_ms: Option<u64>,
 }
 
-/// How one node speaks with its upstream.
+/// Protocol between a node and its upstream.
 pub trait UpstreamProtocol: Send + Sync {
-    /// Makes the request for a call that has `left_ms` until its deadline; none when its head
-    /// cannot be written as HTTP.
+    /// Builds the request for a call that has `left_ms` until its deadline. Returns `None` if the call's head cannot be
+    /// written as HTTP.
     fn request(&self, head: &CallHead, body: Bytes, left_ms: u64, id: Option<&str>) -> Option<Request<Full<Bytes>>>;
 
-    /// Reads the head of an answer.
+    /// Classifies an answer by its head.
     fn classify(&self, head: &CallHead, status: u16, headers: &HeaderMap) -> Classified;
 
-    /// Reads what an answer says of the machine, if it does.
+    /// Reads the machine's load from an answer, if it is included.
     fn host_load(&self, headers: &HeaderMap) -> Option<HostLoad>;
 
-    /// Returns whether an answer says that the upstream is about to stop.
+    /// Returns whether an answer announces that the upstream is about to stop.
     fn is_leaving(&self, headers: &HeaderMap) -> bool;
 
-    /// Returns whether the call must have a connection that nothing was sent on before.
+    /// Returns whether the call needs a connection that nothing was sent on before.
     fn wants_fresh_connection(&self, head: &CallHead) -> bool;
 
-    /// Returns how long a connection may rest and still be used again; none where connections
-    /// are opened ahead of calls and kept.
+    /// Returns how long a connection may be idle and still be reused; `None` if connections are opened ahead of calls
+    /// and kept.
     fn reuse_within(&self) -> Option<Duration>;
 
-    /// Reads the answer to a health check; none when it names no upstream.
+    /// Reads the answer to a health check; `None` if it names no upstream.
     fn health(&self, status: u16, headers: &HeaderMap) -> Option<Health>;
 }
 
-/// Valetrack's own words to upstreams.
+/// Valetrack's own protocol for upstreams.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativeUpstream;
 
@@ -96,7 +96,7 @@
 
     fn classify(&self, head: &CallHead, _status: u16, headers: &HeaderMap) -> Classified {
         let attempt = head.attempt.to_string();
-        let other = headers.get(ATTEMPT_HEADER).is_some_and(|named| named.as_bytes() != attempt.as_bytes());
+        let other = headers.get(ATTEMPT_HEADER).is_some_and(|value| value.as_bytes() != attempt.as_bytes());
         if other { Classified::Misdirected } else { Classified::Ran }
     }
 
--- a/valetrack/src/gate/run.rs
+++ b/valetrack/src/gate/run.rs
@@ -1,4 +1,4 @@
-//! Shell of the gate; it shares the link thread, since every call comes over a link's stream.
+//! I/O shell of the gate. It runs on the link thread, since every call arrives on a stream of a link.
 
 mod crash;
 mod follow;
@@ -35,26 +35,26 @@
 use crate::rollout::{RouteRuns, RunCounter};
 use crate::timeline::OrNone;
 
-/// A slot whose call passed its deadline stays taken this long, so that the server can see the
-/// closed connection and stop, in milliseconds.
+/// How long a slot stays occupied after its call's deadline, so that the server can notice the closed connection and
+/// stop.
 const LINGER_MS: u64 = 100;
 
-/// How the gate answers an attempt.
+/// Reply of the gate to an attempt.
 #[derive(Debug)]
 pub enum GateReply {
     /// The server's answer, or a numbered failure after the start.
     Answer(AnswerHead, Bytes),
-    /// The attempt did not start and never will.
+    /// The attempt was declined: it did not start and never will.
     Bounce(BounceReason),
 }
 
-/// Takes a call out of the queue when nobody waits for its end any more.
-struct AbandonGuard {
+/// Cancels a queued attempt when its caller stops waiting.
+struct CancelGuard {
     shell: Rc<GateShell>,
     attempt: Option<AttemptId>,
 }
 
-impl Drop for AbandonGuard {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if let Some(attempt) = self.attempt.take() {
             self.shell.handle(GateEvent::Cancel { attempt });
@@ -65,67 +65,67 @@
 struct Job {
     call: Rc<RunningCall>,
     admission: Admission,
-    /// Whether upstreams make calls of its route on their own, as far as this owner can tell.
-    judged: Option<bool>,
+    /// Whether upstreams make calls of this route, if this owner has enough observations.
+    observed_nested: Option<bool>,
     deadline_us: u64,
     reply: oneshot::Sender<GateReply>,
 }
 
-/// How an exchange with the server ended, or that its deadline passed.
-type Ended = Result<Result<ServerAnswer, ServerError>, Elapsed>;
+/// Result of an exchange with the server, or an elapsed deadline.
+type ExchangeResult = Result<Result<ServerAnswer, ServerError>, Elapsed>;
 
-/// The gate with the jobs that it holds and the connections to its server.
+/// I/O shell of the gate, with its pending jobs and the connections to its server.
 pub struct GateShell {
     gate: RefCell<Gate>,
     jobs: RefCell<HashMap<AttemptId, Job>>,
     pool: ServerPool,
     answer_cap_bytes: Cell<usize>,
-    /// Where the upstream tells its health, and its machine's speed with it.
+    /// Path of the upstream's health check, whose answer includes the machine's speed.
     health_path: RefCell<Option<Arc<str>>>,
-    /// Held by the call that asks the machine for its speed; others wait for its answer.
-    asking: tokio::sync::Mutex<()>,
+    /// Held during a request for the machine's speed, so that other calls wait for the same answer.
+    speed_request: tokio::sync::Mutex<()>,
     origins: RefCell<OriginTracker>,
-    /// How runs of the present start of the upstream ended.
+    /// Outcomes of the runs of the upstream's present start.
     runs: RefCell<RunCounter>,
     /// The entry beside this gate.
     ledger: Rc<dyn RunLedger>,
-    /// What this node knows of calls that crash upstreams.
+    /// This node's record of calls that crash upstreams.
     crashes: Rc<Quarantine>,
-    /// How exchanges with the upstream end, judged for a crash.
+    /// Detects crashes from the ends of exchanges with the upstream.
     exchanges: RefCell<CrashDetector<Rc<RunningCall>>>,
-    /// Calls whose exchange has broken and that wait to hear whether the upstream has crashed.
-    broken: RefCell<Vec<oneshot::Sender<bool>>>,
-    /// Whether the upstream is being tried for a crash.
-    trying: Cell<bool>,
+    /// Calls whose connection broke and which wait for the result of the crash check.
+    crash_waiters: RefCell<Vec<oneshot::Sender<bool>>>,
+    /// Whether a crash check of the upstream is in progress.
+    is_checking_crash: Cell<bool>,
     upstream: watch::Receiver<UpstreamState>,
     /// Whether the node itself leaves, so that its gate never opens again.
     draining: Cell<bool>,
     suspensions: RefCell<SuspensionWatch>,
     changed: Notify,
-    /// Notified when a health check tells another end of the cold time.
-    cold_told: Notify,
+    /// Notified when a health check reports a different end of the cold period.
+    cold_changed: Notify,
     leaving: Arc<Notify>,
     metrics: Arc<Metrics>,
 }
 
-/// What a gate is joined to.
+/// Dependencies of a gate.
 pub struct GateShellParts {
     /// Connections to the server.
     pub pool: ServerPool,
-    /// State of the server as its announcements tell it.
+    /// State of the server according to its announcements.
     pub upstream: watch::Receiver<UpstreamState>,
-    /// Notified when the server says that it is about to stop.
+    /// Notified when the server announces that it is about to stop.
     pub leaving: Arc<Notify>,
     /// The entry beside this gate.
     pub ledger: Rc<dyn RunLedger>,
-    /// What this node knows of calls that crash upstreams.
+    /// This node's record of calls that crash upstreams.
     pub crashes: Rc<Quarantine>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
 }
 
 impl GateShell {
-    /// Makes a gate.
+    /// Creates a gate.
     pub fn new(parts: GateShellParts) -> Rc<Self> {
         let GateShellParts { pool, upstream, leaving, ledger, crashes, metrics } = parts;
         Rc::new(Self {
@@ -135,8 +135,8 @@
             ledger,
             crashes,
             exchanges: RefCell::default(),
-            broken: RefCell::default(),
-            trying: Cell::new(false),
+            crash_waiters: RefCell::default(),
+            is_checking_crash: Cell::new(false),
             draining: Cell::new(false),
             suspensions: RefCell::new(SuspensionWatch::from_now()),
             gate: RefCell::new(Gate::new(GateConfig::default(), steady_us())),
@@ -144,15 +144,15 @@
             pool,
             answer_cap_bytes: Cell::new(crate::link::message::BODY_MAX_BYTES),
             health_path: RefCell::default(),
-            asking: tokio::sync::Mutex::new(()),
+            speed_request: tokio::sync::Mutex::new(()),
             changed: Notify::new(),
-            cold_told: Notify::new(),
+            cold_changed: Notify::new(),
             leaving,
             metrics,
         })
     }
 
-    /// Takes limits of the bundle in force, and opens connections ahead of calls.
+    /// Applies the limits of the bundle in force, and opens connections ahead of calls.
     pub async fn configure(&self, config: GateConfig, answer_cap_bytes: usize, health_path: Option<Arc<str>>) {
         *self.health_path.borrow_mut() = health_path;
         let slots = self.upstream.borrow().slots.unwrap_or(config.slots);
@@ -162,12 +162,12 @@
         self.pool.warm(usize::from(config.slots)).await;
     }
 
-    /// Returns the load now.
+    /// Returns the present load.
     pub fn load(&self) -> LoadReport {
         self.gate.borrow().load(steady_us())
     }
 
-    /// Returns how runs of the present start of the upstream ended, by route.
+    /// Returns the outcomes of the runs of the upstream's present start, by route.
     pub fn runs(&self) -> Vec<RouteRuns> {
         self.runs.borrow().routes()
     }
@@ -177,18 +177,18 @@
         self.gate.borrow().idle()
     }
 
-    /// Stops taking new work for good; what waits is given back.
+    /// Stops accepting work permanently and declines all waiting attempts.
     pub fn drain(self: &Rc<Self>) {
         self.draining.set(true);
         self.handle(GateEvent::Drain);
     }
 
-    /// Asks the server for its health.
+    /// Requests the server's health.
     pub async fn health(&self, path: &str) -> Option<Health> {
         self.pool.health(path).await
     }
 
-    /// Runs a call when the gate lets it, and waits for the end.
+    /// Runs a call once the gate admits it, and waits for its end.
     pub async fn call(self: &Rc<Self>, head: CallHead, body: Bytes) -> GateReply {
         let attempt = head.attempt;
         let patience = head.patience;
@@ -201,34 +201,34 @@
             return GateReply::Bounce(BounceReason::NotReady);
         }
         if f64::from(head.repeat_permille) >= PERMILLE && !self.ledger.admits_repeat() {
-            return GateReply::Bounce(self.refuse(&head, BounceReason::RepeatRefused));
+            return GateReply::Bounce(self.log_decline(&head, BounceReason::RepeatRefused));
         }
         let admission = self.crashes.admit(&head, &body).await;
         if admission == Admission::Refused {
-            return GateReply::Bounce(self.refuse(&head, BounceReason::Quarantined));
+            return GateReply::Bounce(self.log_decline(&head, BounceReason::Quarantined));
         }
-        let judged = self.origins.borrow_mut().judge(&head.route, &head.origin);
-        // An owner that has just started goes by what others have told the entry.
-        let nested = judged.unwrap_or(head.made_by_run);
-        // Calls of callers rank behind all that servers wait for.
+        let observed_nested = self.origins.borrow_mut().record_and_classify(&head.route, &head.origin);
+        // An owner that has just started relies on the classification that other owners reported to the entry.
+        let nested = observed_nested.unwrap_or(head.made_by_run);
+        // Callers' calls rank behind calls that servers wait for.
         let priority = if nested { INTERNAL_PRIORITY } else { head.priority.saturating_add(1) };
         let objective = objective(&head, nested);
         self.refresh_speed(head.work_us.into()).await;
         let call = Rc::new(RunningCall { head, body });
-        self.jobs.borrow_mut().insert(attempt, Job { call, admission, judged, deadline_us, reply });
+        self.jobs.borrow_mut().insert(attempt, Job { call, admission, observed_nested, deadline_us, reply });
         if matches!(admission, Admission::Alone | Admission::Trial) {
             self.gate.borrow_mut().suspect(attempt);
         }
-        let mut abandon = AbandonGuard { shell: self.clone(), attempt: Some(attempt) };
+        let mut cancel_guard = CancelGuard { shell: self.clone(), attempt: Some(attempt) };
         self.handle(GateEvent::Arrive { attempt, deadline_us, patience, priority, objective });
         let reply = answered.await;
-        abandon.attempt = None;
+        cancel_guard.attempt = None;
         reply.unwrap_or(GateReply::Bounce(BounceReason::Cancelled))
     }
 
-    /// Tells of a call that is given back before it waits for a slot.
-    fn refuse(&self, head: &CallHead, reason: BounceReason) -> BounceReason {
-        self.metrics.bounces.with_label_values(&[bounce_label(reason)]).inc();
+    /// Logs and counts an attempt that is declined before it waits for a slot.
+    fn log_decline(&self, head: &CallHead, reason: BounceReason) -> BounceReason {
+        self.metrics.bounces.with_label_values(&[decline_label(reason)]).inc();
         log::info!("event=gate.bounce call={} attempt={} reason={reason:?}", head.call_id, head.attempt);
         reason
     }
@@ -238,7 +238,7 @@
         self.handle(GateEvent::Cancel { attempt }).unwrap_or(CancelResult::Started)
     }
 
-    /// Lets waiting calls go when their time has come; runs as long as the gate.
+    /// Runs the gate's timer, which ends waits that have expired; it never returns.
     pub async fn keep_time(self: Rc<Self>) {
         loop {
             let next_us = self.gate.borrow().next_tick_us(steady_us());
@@ -249,7 +249,7 @@
                 }
                 None => self.changed.notified().await,
             }
-            self.follow_episode().await;
+            self.refresh_deferred_speed().await;
             self.handle(GateEvent::Tick);
         }
     }
@@ -265,15 +265,15 @@
         for action in actions {
             match action {
                 GateAction::Start { attempt } => self.start(attempt),
-                GateAction::Bounce { attempt, reason } => self.bounce(attempt, reason),
+                GateAction::Bounce { attempt, reason } => self.decline(attempt, reason),
                 GateAction::ReportCancel { result, .. } => cancelled = Some(result),
             }
         }
-        self.observe(event);
+        self.on_load_changed(event);
         cancelled
     }
 
-    fn observe(&self, event: GateEvent) {
+    fn on_load_changed(&self, event: GateEvent) {
         let load = self.load();
         self.metrics.gate_in_flight.set(load.in_flight.into());
         self.metrics.gate_queued.set(load.queued.into());
@@ -282,11 +282,11 @@
         }
     }
 
-    fn bounce(&self, attempt: AttemptId, reason: BounceReason) {
+    fn decline(&self, attempt: AttemptId, reason: BounceReason) {
         let Some(job) = self.jobs.borrow_mut().remove(&attempt) else {
             return;
         };
-        self.metrics.bounces.with_label_values(&[bounce_label(reason)]).inc();
+        self.metrics.bounces.with_label_values(&[decline_label(reason)]).inc();
         let load = self.load();
         log::info!(
             "event=gate.bounce call={} attempt={attempt} reason={reason:?} running={} waiting={} limit={} \
@@ -308,21 +308,21 @@
         tokio::task::spawn_local(self.clone().run(job));
     }
 
-    /// Gives a started attempt back, of which it is certain that the server did not run it.
-    fn give_back(self: &Rc<Self>, job: Job, reason: BounceReason) {
+    /// Declines a started attempt that the server certainly did not run.
+    fn decline_started(self: &Rc<Self>, job: Job, reason: BounceReason) {
         let attempt = job.call.head.attempt;
         log::info!("event=gate.not_started call={} attempt={attempt} reason={reason:?}", job.call.head.call_id);
         self.jobs.borrow_mut().insert(attempt, job);
         self.handle(GateEvent::Refused { attempt, reason });
     }
 
-    /// Reads how a run ended: its answer, or the code of what went wrong.
+    /// Returns the answer of a run, or the code of its failure.
     ///
     /// # Errors
     ///
-    /// Returns why the call is given back where it is certain that the server did not run it.
-    fn outcome(&self, ended: Ended) -> Result<(Option<Code>, Option<ServerAnswer>), BounceReason> {
-        Ok(match ended {
+    /// Returns the reason for declining the attempt if the server certainly did not run it.
+    fn outcome(&self, result: ExchangeResult) -> Result<(Option<Code>, Option<ServerAnswer>), BounceReason> {
+        Ok(match result {
             Ok(Ok(answer)) => (None, Some(answer)),
             Ok(Err(ServerError::NotStarted)) => return Err(BounceReason::Refused),
             Ok(Err(ServerError::Rejected(reason))) => return Err(reason),
@@ -336,61 +336,61 @@
         })
     }
 
-    /// Takes what an answer's headers tell of the server.
-    fn learn(&self, answer: &ServerAnswer) {
+    /// Applies the information about the server in an answer's headers.
+    fn apply_headers(&self, answer: &ServerAnswer) {
         if let Some(load) = self.pool.protocol().host_load(&answer.headers) {
-            self.told(load);
+            self.record_load(load);
         }
         if self.pool.protocol().is_leaving(&answer.headers) {
             self.leaving.notify_one();
         }
     }
 
-    /// Runs a started call at the server, and answers whoever asked.
+    /// Runs a started call at the server and sends the reply.
     async fn run(self: Rc<Self>, mut job: Job) {
         let call = job.call.clone();
         let head = &call.head;
         let attempt = head.attempt;
         log::debug!("event=gate.start call={} attempt={attempt}", head.call_id);
         if self.crashes.forbids(job.admission, &call) {
-            self.give_back(job, BounceReason::Quarantined);
+            self.decline_started(job, BounceReason::Quarantined);
             return;
         }
-        let _entered = LedgerEntry::new(self.ledger.clone(), head.repeat_permille);
-        let began_us = steady_us();
-        let began = self.machine_at(began_us);
-        let left_us = job.deadline_us.saturating_sub(began_us);
+        let _ledger_entry = LedgerEntry::new(self.ledger.clone(), head.repeat_permille);
+        let start_us = steady_us();
+        let start = self.machine_at(start_us);
+        let left_us = job.deadline_us.saturating_sub(start_us);
         let id = self.upstream.borrow().id.clone();
         let Some(request) = self.pool.protocol().request(head, call.body.clone(), left_us / 1000, id.as_deref()) else {
-            self.give_back(job, BounceReason::Refused);
+            self.decline_started(job, BounceReason::Refused);
             return;
         };
         let exchange = self.begin_exchange(call.clone());
-        let Some(ended) = self.exchange(&mut job, request, left_us).await else {
+        let Some(result) = self.exchange(&mut job, request, left_us).await else {
             log::info!("event=gate.abandoned call={} attempt={attempt}", head.call_id);
             self.handle(GateEvent::Done { attempt, healthy: true });
             return;
         };
-        let late = ended.is_err();
-        let crashed = self.end_exchange(exchange, &call, &ended).await;
-        let (code, answer) = match self.outcome(ended) {
+        let late = result.is_err();
+        let crashed = self.end_exchange(exchange, &call, &result).await;
+        let (code, answer) = match self.outcome(result) {
             Ok((Some(Code::ServerFailed), None)) if crashed => (Some(Code::ServerCrashed), None),
             Ok(outcome) => outcome,
             Err(reason) => {
-                self.give_back(job, reason);
+                self.decline_started(job, reason);
                 return;
             }
         };
         if let Some(answer) = &answer {
-            self.learn(answer);
+            self.apply_headers(answer);
         }
         let healthy = answer.as_ref().is_some_and(|answer| answer.status < 500);
-        let times = self.times(began, head.work_us);
+        let times = self.times(start, head.work_us);
         self.gate.borrow_mut().ran(attempt, times, healthy);
         self.count_run(head, times, healthy);
         log_done(head, times, code, answer.as_ref(), healthy);
         let (mut answer_head, body) = answer_head(attempt, code, answer);
-        answer_head.nested = job.judged;
+        answer_head.nested = job.observed_nested;
         answer_head.work_us = times.unslowed_us.min(u64::from(u32::MAX)) as u32;
         let _ = job.reply.send(GateReply::Answer(answer_head, body));
         if late {
@@ -399,20 +399,20 @@
         self.handle(GateEvent::Done { attempt, healthy });
     }
 
-    /// Counts a run for whoever compares versions of the upstream; one that was cold is no measure of its version.
+    /// Counts a run for the comparison of upstream versions. The duration of a run on a cold upstream is excluded,
+    /// since it does not characterize the version.
     fn count_run(&self, head: &CallHead, times: RunTimes, healthy: bool) {
         let is_cold = self.gate.borrow().cold_until_us() > steady_us().saturating_sub(times.ran_us);
         let usual_us = if is_cold { 0 } else { head.work_us.into() };
         self.runs.borrow_mut().ran(&head.route, healthy, times.unslowed_us, usual_us);
     }
 
-    /// Puts a call to the server within `left_us`; none when whoever asked has gone away and the
-    /// call may repeat.
-    async fn exchange(&self, job: &mut Job, request: Request<Full<Bytes>>, left_us: u64) -> Option<Ended> {
+    /// Sends a call to the server within `left_us`; returns `None` if the caller has left and the call is repeatable.
+    async fn exchange(&self, job: &mut Job, request: Request<Full<Bytes>>, left_us: u64) -> Option<ExchangeResult> {
         let exchange = self.pool.exchange(request, &job.call.head, self.answer_cap_bytes.get());
         tokio::select! {
-            ended = timeout(Duration::from_micros(left_us), exchange) => Some(ended),
-            // The closed connection tells the server to stop.
+            result = timeout(Duration::from_micros(left_us), exchange) => Some(result),
+            // Closing the connection signals the server to stop.
             () = job.reply.closed(), if job.call.head.repeatable => None,
         }
     }
@@ -431,7 +431,7 @@
     );
 }
 
-const fn bounce_label(reason: BounceReason) -> &'static str {
+const fn decline_label(reason: BounceReason) -> &'static str {
     match reason {
         BounceReason::Full => "full",
         BounceReason::Leaving => "leaving",
--- a/valetrack/src/gate/run/crash.rs
+++ b/valetrack/src/gate/run/crash.rs
@@ -1,4 +1,4 @@
-//! What the gate's shell does when its upstream may have crashed.
+//! Detection and reporting of upstream crashes in the gate's shell.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-use super::{Ended, GateShell};
+use super::{ExchangeResult, GateShell};
 use crate::clock::steady_us;
 use crate::crash::{ExchangeEnd, RunningCall};
 use crate::gate::pool::ServerError;
 use crate::gate::upstream::UpstreamPhase;
 
-/// Time after the first broken connection for the others to break, in milliseconds: a process that ends
-/// closes them all at once, and this node reads that a moment later.
+/// Wait after the first broken connection for the others to break. A process that ends closes all of them at once, and
+/// this node reads that a moment later.
 const SETTLE_MS: u64 = 5;
-/// How often that time is waited for while the upstream is down and some have not broken: a VM that has used up
-/// its share of a core stands still for some tens of milliseconds.
+/// Number of such waits while the upstream is down and some connections have not broken. A VM that has used up its
+/// share of a core is paused for some tens of milliseconds.
 const SETTLES_MAX: u32 = 20;
 
-/// An exchange in progress; unless its end is told, it was left when this is dropped.
+/// An exchange in progress, which counts as abandoned if this value is dropped before its end is recorded.
 pub(super) struct Exchange {
     shell: Rc<GateShell>,
     number: u64,
@@ -35,62 +35,62 @@
 }
 
 impl GateShell {
-    /// Notes the start of an exchange.
+    /// Records the start of an exchange.
     pub(super) fn begin_exchange(self: &Rc<Self>, call: Rc<RunningCall>) -> Exchange {
         let number = self.exchanges.borrow_mut().began(call);
         Exchange { shell: self.clone(), number, ended: false }
     }
 
-    /// Notes how an exchange ended, and waits, where its connection broke, until it is known whether the
-    /// upstream has crashed; returns whether it has.
+    /// Records the end of an exchange. If its connection broke, waits for the result of the crash check and returns
+    /// whether the upstream has crashed.
     pub(super) async fn end_exchange(
         self: &Rc<Self>,
         mut exchange: Exchange,
         call: &RunningCall,
-        ended: &Ended,
+        result: &ExchangeResult,
     ) -> bool {
         exchange.ended = true;
-        let end = end_of(ended);
-        if matches!(ended, Ok(Ok(_))) {
+        let end = end_of(result);
+        if matches!(result, Ok(Ok(_))) {
             self.crashes.answered(&call.head, &call.body);
         }
-        let sign = self.exchanges.borrow_mut().ended(exchange.number, end, steady_us());
-        if sign && !self.trying.replace(true) {
-            tokio::task::spawn_local(self.clone().try_upstream());
+        let may_have_crashed = self.exchanges.borrow_mut().ended(exchange.number, end, steady_us());
+        if may_have_crashed && !self.is_checking_crash.replace(true) {
+            tokio::task::spawn_local(self.clone().check_for_crash());
         }
-        if end != ExchangeEnd::Broken || !self.trying.get() {
+        if end != ExchangeEnd::Broken || !self.is_checking_crash.get() {
             return false;
         }
-        let (tell, crashed) = oneshot::channel();
-        self.broken.borrow_mut().push(tell);
+        let (sender, crashed) = oneshot::channel();
+        self.crash_waiters.borrow_mut().push(sender);
         crashed.await.unwrap_or(false)
     }
 
-    /// Finds out whether the upstream has crashed, and reports it.
-    async fn try_upstream(self: Rc<Self>) {
+    /// Determines whether the upstream has crashed, and reports the crash.
+    async fn check_for_crash(self: Rc<Self>) {
         let suspects = self.suspects().await;
-        // One that leaves ends as it was told to.
+        // The end of a leaving upstream is planned.
         let planned = self.draining.get() || self.upstream.borrow().phase != UpstreamPhase::Ready;
         let crashed = !suspects.is_empty() && !planned;
         if crashed {
             log::warn!("event=upstream.crashed running={}", suspects.len());
             self.crashes.report(&suspects).await;
         }
-        self.trying.set(false);
-        for waiting in self.broken.take() {
-            // Whoever asked may have gone away meanwhile.
+        self.is_checking_crash.set(false);
+        for waiting in self.crash_waiters.take() {
+            // The receiver may have been dropped meanwhile.
             let _ = waiting.send(crashed);
         }
     }
 }
 
 impl GateShell {
-    /// Returns the calls that may have crashed the upstream; none where it stands.
+    /// Returns the calls that may have crashed the upstream; none if it is still running.
     async fn suspects(&self) -> Vec<Rc<RunningCall>> {
         let health_path = self.health_path.borrow().clone();
         for _ in 0..SETTLES_MAX {
             sleep(Duration::from_millis(SETTLE_MS)).await;
-            let Some(down) = self.pool.down(health_path.as_deref()).await else {
+            let Some(down) = self.pool.check_down(health_path.as_deref()).await else {
                 self.exchanges.borrow_mut().stands();
                 return Vec::new();
             };
@@ -103,8 +103,8 @@
     }
 }
 
-const fn end_of(ended: &Ended) -> ExchangeEnd {
-    match ended {
+const fn end_of(result: &ExchangeResult) -> ExchangeEnd {
+    match result {
         Ok(Err(ServerError::Broken)) => ExchangeEnd::Broken,
         Ok(Err(ServerError::NotStarted)) => ExchangeEnd::Refused,
         Ok(Ok(_) | Err(ServerError::TooLarge | ServerError::Misdirected | ServerError::Rejected(_))) => {
--- a/valetrack/src/gate/run/follow.rs
+++ b/valetrack/src/gate/run/follow.rs
@@ -1,4 +1,4 @@
-//! What the gate's shell follows: the upstream's announcements, its cold times, and evacuations.
+//! Updates of the gate's shell from the upstream's announcements, its cold periods, and evacuations.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::gate::upstream::{UpstreamPhase, UpstreamState};
 use crate::member::Members;
 
-/// After the end of an evacuation an upstream that bears little while it is cold is taken for cold for
-/// this long, in microseconds: until its answer to a health check tells whether it is.
-const RETURN_RAMP_US: u64 = 1_000_000;
-/// A health check changes the end of a cold time that is off by more than this, in microseconds: some
-/// times what an answer takes within one VM.
-const COLD_STEP_US: u64 = 50_000;
+/// How long an upstream with limits for its cold period counts as cold after the end of an evacuation, until a health
+/// check reports its actual state.
+const RETURN_COLD_US: u64 = 1_000_000;
+/// Smallest deviation at which a health check changes the end of the cold period: several times the transfer time of an
+/// answer within one VM.
+const COLD_STEP_MIN_US: u64 = 50_000;
 
 impl GateShell {
-    /// Opens and closes the gate as the upstream's announcements say; runs as long as the gate.
+    /// Opens and closes the gate according to the upstream's announcements; runs as long as the gate.
     pub async fn follow_upstream(self: Rc<Self>) {
         let mut upstream = self.upstream.clone();
-        let mut known = UpstreamState::unknown();
+        let mut previous = UpstreamState::unknown();
         loop {
             let state = upstream.borrow_and_update().clone();
-            if state.start != known.start {
+            if state.start != previous.start {
                 self.pool.clear();
                 self.runs.borrow_mut().set_start(state.start);
                 self.exchanges.borrow_mut().alive();
@@ -36,13 +36,13 @@
             if let Some(slots) = state.slots {
                 self.gate.borrow_mut().set_slots(slots);
             }
-            if (state.start, state.phase) != (known.start, known.phase) {
+            if (state.start, state.phase) != (previous.start, previous.phase) {
                 self.follow_phase(state.phase);
             }
-            if state.cold_until_us != known.cold_until_us {
+            if state.cold_until_us != previous.cold_until_us {
                 self.gate.borrow_mut().set_cold(state.cold_until_us, steady_us());
             }
-            known = state;
+            previous = state;
             if self.upstream_changed(&mut upstream).await.is_err() {
                 return;
             }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Waits for the next announcement that changes something, and notes when the upstream is warm.
+    /// Waits for the next announcement that changes the state, and records when the upstream is warm.
     async fn upstream_changed(
         &self,
         upstream: &mut watch::Receiver<UpstreamState>,
@@ -70,7 +70,7 @@
             let cold_until_us = self.gate.borrow().cold_until_us();
             tokio::select! {
                 changed = upstream.changed() => return changed,
-                () = self.cold_told.notified() => {}
+                () = self.cold_changed.notified() => {}
                 () = warm_up(cold_until_us) => {
                     log::info!("event=upstream.warm");
                     self.gate.borrow_mut().warmed_up();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Follows what the members tell: the gate is closed while the upstream's failure domain is evacuated.
+    /// Closes the gate while the upstream's failure domain is evacuated, according to the membership.
     pub async fn follow_members(self: Rc<Self>, domain: Arc<str>, mut members: watch::Receiver<Arc<Members>>) {
         let mut evacuated = false;
         loop {
@@ -104,28 +104,28 @@
             self.handle(GateEvent::Evacuate);
             return;
         }
-        // It may have turned cold a moment ago, and says so at its health check.
-        self.handle(GateEvent::Return { cold_until_us: steady_us() + RETURN_RAMP_US });
+        // The upstream may just have turned cold, which its health check reports.
+        self.handle(GateEvent::Return { cold_until_us: steady_us() + RETURN_COLD_US });
         let path = self.health_path.borrow().clone();
         if let Some(path) = path
             && let Some(Health { cold_ms: Some(cold_ms), .. }) = self.pool.health(&path).await
         {
-            self.take_cold(cold_ms);
+            self.update_cold_until(cold_ms);
         }
     }
 
-    /// Takes how much longer the upstream is cold by its answer to a health check.
-    pub(super) fn take_cold(&self, cold_ms: u64) {
+    /// Updates the end of the cold period from the answer to a health check.
+    pub(super) fn update_cold_until(&self, cold_ms: u64) {
         let until_us = steady_us() + cold_ms * 1000;
-        let known_us = self.gate.borrow().cold_until_us();
-        if until_us.abs_diff(known_us) > COLD_STEP_US {
+        let current_us = self.gate.borrow().cold_until_us();
+        if until_us.abs_diff(current_us) > COLD_STEP_MIN_US {
             self.gate.borrow_mut().set_cold(until_us, steady_us());
-            self.cold_told.notify_one();
+            self.cold_changed.notify_one();
         }
     }
 }
 
-/// Waits until a cold server is warm; for ever where it is warm already.
+/// Waits until a cold server is warm; never returns if it is warm already.
 async fn warm_up(cold_until_us: u64) {
     let left_us = cold_until_us.saturating_sub(steady_us());
     if left_us == 0 {
--- a/valetrack/src/gate/tests.rs
+++ b/valetrack/src/gate/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the gate: the pure decisions at random, and connections against a server that lies.
+//! Tests of the gate: its state machine under random events, and connections to a misbehaving server.
 
 mod cold;
 mod connection;
--- a/valetrack/src/gate/tests/cold.rs
+++ b/valetrack/src/gate/tests/cold.rs
@@ -1,4 +1,4 @@
-//! What a cold upstream gets.
+//! Limits on the calls of a cold upstream.
 
 use proptest::prelude::*;
 use test_case::test_case;
@@ -6,7 +6,7 @@
 use crate::gate::{AttemptId, ColdBound, ColdRule, Gate, GateAction, GateConfig, GateEvent, Objective, Patience};
 
 const SECOND_US: u64 = 1_000_000;
-/// Span over which starts are counted.
+/// Window in which starts are counted.
 const WINDOW_US: u64 = 1_100_000;
 const STARTS_PER_S: u32 = 24;
 const RULE: ColdRule = ColdRule { starts_per_s: Some(STARTS_PER_S), first_second: 8, length_ms: Some(3_000) };
@@ -28,8 +28,7 @@
     }
 }
 
-/// Puts a call to the gate each millisecond, each of which runs for a millisecond; returns when each
-/// started.
+/// Sends the gate one call per millisecond, each of which runs for a millisecond; returns the times of their starts.
 fn send_calls(gate: &mut Gate, from_us: u64, until_us: u64) -> Vec<u64> {
     let mut starts_us = Vec::new();
     let mut out = Vec::new();
@@ -45,71 +44,71 @@
     starts_us
 }
 
-fn most_in_a_second(starts_us: &[u64]) -> usize {
+fn max_in_a_second(starts_us: &[u64]) -> usize {
     let within = |first: &u64| starts_us.iter().filter(|at| *at >= first && **at < first + SECOND_US).count();
     starts_us.iter().map(within).max().unwrap_or(0)
 }
 
 #[test]
-fn a_cold_upstream_gets_what_it_bears_and_a_warm_one_everything() {
+fn only_cold_upstream_has_limited_starts() {
     let from_us = 10 * SECOND_US;
     let mut gate = gate(from_us);
     let cold = send_calls(&mut gate, from_us, from_us + 3 * SECOND_US);
-    assert_eq!(most_in_a_second(&cold), STARTS_PER_S as usize);
+    assert_eq!(max_in_a_second(&cold), STARTS_PER_S as usize);
     assert_eq!(cold.len(), 3 * STARTS_PER_S as usize);
     let warm = send_calls(&mut gate, from_us + 3 * SECOND_US, from_us + 4 * SECOND_US);
     assert_eq!(warm.len(), 1_000);
 }
 
 #[test]
-fn an_upstream_that_turns_cold_again_is_bounded_again() {
+fn second_cold_period_is_limited_again() {
     let from_us = 10 * SECOND_US;
     let mut gate = gate(from_us);
     let again_us = from_us + 5 * SECOND_US;
     send_calls(&mut gate, from_us, again_us);
     gate.set_cold(again_us + 2 * SECOND_US, again_us);
     let cold = send_calls(&mut gate, again_us, again_us + 2 * SECOND_US);
-    assert!(most_in_a_second(&cold) <= STARTS_PER_S as usize, "{}", cold.len());
+    assert!(max_in_a_second(&cold) <= STARTS_PER_S as usize, "{}", cold.len());
 }
 
-#[test_case(2_800_000, 8; "an upstream that ran before its node")]
-#[test_case(2_950_000, 24; "one that began with it, as after a loss of power")]
-fn a_node_that_has_just_started_leaves_room_for_what_its_earlier_life_sent(cold_us: u64, expected: usize) {
+#[test_case(2_800_000, 8; "an upstream that started before its node")]
+#[test_case(2_950_000, 24; "an upstream that started with its node, as after a power loss")]
+fn restarted_node_allows_for_starts_of_earlier_incarnation(cold_us: u64, expected: usize) {
     let mut gate = gate(0);
     gate.set_cold(cold_us, 0);
     assert_eq!(send_calls(&mut gate, 0, SECOND_US).len(), expected);
 }
 
 #[test]
-fn entries_see_that_a_cold_upstream_may_get_no_more_now() {
+fn load_of_exhausted_cold_upstream_reports_zero_limit() {
     let from_us = 10 * SECOND_US;
     let mut gate = gate(from_us);
     assert_eq!(gate.load(from_us).limit, 11);
     send_calls(&mut gate, from_us, from_us + 100_000);
     let load = gate.load(from_us + 100_000);
-    assert_eq!((load.limit, load.in_flight), (0, 0), "slots that may not be filled are no room");
+    assert_eq!((load.limit, load.in_flight), (0, 0), "slots that may not be filled do not count as free");
 }
 
 #[test]
-fn a_call_that_may_wait_is_started_when_the_upstream_bears_it() {
+fn waiting_call_starts_when_cold_limit_allows() {
     let from_us = 10 * SECOND_US;
     let mut gate = gate(from_us);
     send_calls(&mut gate, from_us, from_us + 100_000);
     let late_us = from_us + 1_050_000;
     let mut out = Vec::new();
     gate.handle(arrival(1, late_us, 100_000), late_us, &mut out);
-    assert_eq!(out, [], "it waits");
+    assert_eq!(out, [], "the call must wait");
     let tick_us = gate.next_tick_us(late_us).expect("a tick");
-    assert_eq!(tick_us, from_us + WINDOW_US, "until the first start counts no more");
+    assert_eq!(tick_us, from_us + WINDOW_US, "the call waits until the first start leaves the window");
     gate.handle(GateEvent::Tick, tick_us, &mut out);
     assert_eq!(out, [GateAction::Start { attempt: AttemptId { entry: 1, seq: 1 } }]);
 }
 
 proptest! {
-    /// Whatever is told of the cold times and whenever calls come, no second of a cold time has more
-    /// starts than the upstream bears.
+    /// For any sequence of cold periods and calls, no second of a cold period has more starts than the upstream
+    /// supports.
     #[test]
-    fn no_sliding_second_has_too_many_starts(
+    fn no_sliding_second_exceeds_cold_limit(
         steps in prop::collection::vec((0..40_000u64, prop::option::weighted(0.05, 0..3_000_000u64)), 1..600)
     ) {
         let mut bound = ColdBound::new(0);
@@ -122,12 +121,12 @@
                 until_us = now_us + cold_us;
                 bound.set_until(until_us);
             }
-            if bound.left(now_us) == Some(0) {
+            if bound.remaining(now_us) == Some(0) {
                 let wait_us = bound.wait_us(0, now_us);
                 prop_assert!(wait_us > 0 && wait_us <= WINDOW_US);
                 continue;
             }
-            bound.started(now_us);
+            bound.record_start(now_us);
             starts_us.push(now_us);
             if now_us < until_us {
                 let recent = starts_us.iter().filter(|at| **at + WINDOW_US > now_us).count();
--- a/valetrack/src/gate/tests/connection.rs
+++ b/valetrack/src/gate/tests/connection.rs
@@ -1,4 +1,4 @@
-//! Real connections to a server that breaks the rules.
+//! Connections to a server that violates the protocol.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -50,10 +50,10 @@
 }
 
 fn request() -> Request<Full<Bytes>> {
-    Request::get("/").header("host", "server").body(Full::default()).expect("a right request")
+    Request::get("/").header("host", "server").body(Full::default()).expect("a valid request")
 }
 
-/// Serves each connection the given answers, one a request, then closes it.
+/// Sends the given answers on each connection, one per request, then closes it.
 async fn server(answers: &'static [&'static str]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("a bound port");
@@ -78,24 +78,24 @@
 }
 
 #[test_case(&["HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"], ServerError::Broken; "too few bytes")]
-#[test_case(&["HTTP/1.1 200 OK\r\ncontent-le"], ServerError::Broken; "a head cut short")]
+#[test_case(&["HTTP/1.1 200 OK\r\ncontent-le"], ServerError::Broken; "a truncated head")]
 #[test_case(&["garbage\r\n\r\n"], ServerError::Broken; "garbage")]
-#[test_case(&["HTTP/1.1 200 OK\r\ncontent-length: 5000\r\n\r\n"], ServerError::TooLarge; "more than the cap")]
+#[test_case(&["HTTP/1.1 200 OK\r\ncontent-length: 5000\r\n\r\n"], ServerError::TooLarge; "more than the size limit")]
 #[test_case(
     &["HTTP/1.1 200 OK\r\nvaletrack-attempt: 0000000000000003-77\r\ncontent-length: 2\r\n\r\nok"],
     ServerError::Misdirected;
     "an answer to another attempt"
 )]
-fn an_answer_that_is_not_whole_is_no_answer(answers: &'static [&'static str], expected: ServerError) {
+fn incomplete_or_invalid_answer_is_an_error(answers: &'static [&'static str], expected: ServerError) {
     run(async move {
         let pool = pool(server(answers).await);
         let ended = timeout(Duration::from_secs(5), pool.exchange(request(), &call(1), CAP_BYTES)).await;
-        assert_eq!(ended.expect("an end in time").map(|answer| answer.body).err(), Some(expected));
+        assert_eq!(ended.expect("the exchange ends in time").map(|answer| answer.body).err(), Some(expected));
     });
 }
 
 #[test]
-fn bytes_behind_an_answer_never_become_the_next_answer() {
+fn extra_bytes_never_become_the_next_answer() {
     const DOUBLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nfirst\
         HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray";
     const SECOND: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nfirst";
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn bytes_that_come_late_on_a_quiet_connection_close_it() {
+fn late_bytes_on_idle_connection_close_it() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let addr = listener.local_addr().expect("a bound port");
@@ -136,12 +136,12 @@
         assert_eq!(first.body, "con-1");
         sleep(Duration::from_millis(60)).await;
         let second = pool.exchange(request(), &call(2), CAP_BYTES).await.expect("an answer");
-        assert_eq!(second.body, "con-2", "the stray answer must not be taken for this one");
+        assert_eq!(second.body, "con-2", "the stray answer must not be returned for this call");
     });
 }
 
 #[test]
-fn a_server_that_is_not_there_has_not_started_anything() {
+fn refused_connection_reports_not_started() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let addr = listener.local_addr().expect("a bound port");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_connection_with_a_dropped_call_is_not_used_again() {
+fn connection_of_dropped_call_is_not_reused() {
     run(async {
         const SLOW: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate";
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
--- a/valetrack/src/gate/tests/crash.rs
+++ b/valetrack/src/gate/tests/crash.rs
@@ -1,11 +1,11 @@
-//! Upstreams that fall over again and again.
+//! Upstreams that crash repeatedly.
 
 use crate::gate::CrashWatch;
 
 const SECOND_US: u64 = 1_000_000;
 
 #[test]
-fn three_crashes_within_half_a_minute_are_recurrent_until_they_are_old() {
+fn three_crashes_within_thirty_seconds_are_recurrent() {
     let mut watch = CrashWatch::default();
     assert_eq!(watch.crashed(0), 1);
     assert_eq!(watch.crashed(3 * SECOND_US), 2);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_crash_now_and_then_is_not() {
+fn one_crash_per_minute_is_not_recurrent() {
     let mut watch = CrashWatch::default();
     assert!((0..20).all(|minute| watch.crashed(minute * 60 * SECOND_US) == 1));
 }
--- a/valetrack/src/gate/tests/evacuation.rs
+++ b/valetrack/src/gate/tests/evacuation.rs
@@ -7,12 +7,12 @@
     GateEvent::Arrive { attempt, deadline_us: u64::MAX / 2, patience: Patience::Long, priority: 1, objective: None }
 }
 
-fn bounce(seq: u64) -> GateAction {
+fn declined(seq: u64) -> GateAction {
     GateAction::Bounce { attempt: AttemptId { entry: 1, seq }, reason: BounceReason::Evacuated }
 }
 
 #[test]
-fn what_runs_ends_and_nothing_new_starts() {
+fn evacuated_gate_finishes_running_calls_and_declines_others() {
     let mut gate = Gate::new(GateConfig { slots: 1, rescue: false, ..GateConfig::default() }, 0);
     let mut out = Vec::new();
     gate.handle(arrival(1), 0, &mut out);
@@ -20,17 +20,17 @@
     out.clear();
     gate.handle(GateEvent::Evacuate, 1_000, &mut out);
     gate.handle(arrival(3), 2_000, &mut out);
-    assert_eq!(out, [bounce(2), bounce(3)]);
-    assert!(!gate.idle(), "the call that runs goes on");
+    assert_eq!(out, [declined(2), declined(3)]);
+    assert!(!gate.idle(), "the running call continues");
     out.clear();
-    // An announcement of the upstream changes nothing.
+    // An announcement of the upstream does not end the evacuation.
     gate.handle(GateEvent::Open, 3_000, &mut out);
     gate.handle(arrival(4), 4_000, &mut out);
-    assert_eq!(out, [bounce(4)]);
+    assert_eq!(out, [declined(4)]);
 }
 
 #[test]
-fn a_return_is_gradual_where_a_cold_upstream_bears_little() {
+fn end_of_evacuation_respects_cold_limit() {
     let cold = ColdRule { starts_per_s: Some(3), first_second: 3, length_ms: None };
     let mut gate = Gate::new(GateConfig::default(), 0);
     gate.configure(GateConfig { slots: 50, queue_max_us: 0, rescue: false, cold, ..GateConfig::default() });
--- a/valetrack/src/gate/tests/life.rs
+++ b/valetrack/src/gate/tests/life.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the id that they had.
+//! Upstreams that restart under the same id.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::gate::{Announcement, UpstreamPhase, UpstreamState};
 
-/// Pause between two heartbeats, in microseconds.
+/// Interval between two heartbeats.
 const HEARTBEAT_US: u64 = 1_500_000;
 
 fn heartbeat(born_ms: Option<u64>, sequence: u64, ready: bool) -> Announcement {
@@ -27,17 +27,17 @@
 }
 
 #[test]
-fn a_new_life_takes_work_whatever_the_one_before_said() {
+fn new_start_is_ready_after_earlier_one_left() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat(Some(100), 90, true), 0);
     state.take(&deregistration(Some(100)), 0);
     assert!(state.take(&heartbeat(Some(200), 1, true), 0));
     assert_eq!((state.start, state.phase), (2, UpstreamPhase::Ready));
-    assert!(state.take(&heartbeat(Some(200), 2, false), 0), "its count starts anew");
+    assert!(state.take(&heartbeat(Some(200), 2, false), 0), "its sequence numbers start again");
 }
 
 #[test]
-fn a_crash_without_a_word_is_a_new_life_too() {
+fn start_after_unannounced_crash_counts_as_new() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat(Some(100), 9, true), 0);
     let cold = Announcement { cold_ms: 3_000, ..heartbeat(Some(200), 1, true) };
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn late_words_of_the_life_before_change_nothing() {
+fn late_announcements_of_earlier_start_change_nothing() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat(Some(100), 7, true), 0);
     state.take(&heartbeat(Some(200), 1, true), 0);
@@ -57,24 +57,24 @@
 }
 
 #[test]
-fn a_node_that_has_started_again_takes_the_later_birth_for_the_present_one() {
+fn restarted_node_keeps_start_with_later_start_time() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat(Some(200), 1, true), 0);
-    assert!(!state.take(&heartbeat(Some(100), 8, false), 1_000), "it never heard of the life before");
+    assert!(!state.take(&heartbeat(Some(100), 8, false), 1_000), "it has no record of the earlier start");
     assert_eq!((state.start, state.phase), (1, UpstreamPhase::Ready));
 }
 
 #[test]
-fn a_health_answer_names_no_birth_and_is_of_the_life_that_is_heard_next() {
+fn health_answer_without_start_time_joins_next_start() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat(None, 0, true), 0);
-    assert!(!state.take(&heartbeat(Some(200), 1, true), 0), "nothing is new");
+    assert!(!state.take(&heartbeat(Some(200), 1, true), 0), "the announcement changes nothing");
     assert_eq!(state.start, 1);
     assert!(state.take(&heartbeat(Some(300), 1, true), 0));
 }
 
 #[test]
-fn after_a_clock_that_was_set_back_the_living_one_is_heard_once_the_other_is_silent() {
+fn start_with_clock_set_back_is_accepted_after_silence() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat(Some(900), 5, true), 0);
     state.take(&deregistration(Some(900)), 0);
@@ -83,9 +83,9 @@
     assert_eq!(state.phase, UpstreamPhase::Ready);
 }
 
-#[test_case(2_600, 4_600_000; "told again a little later it stays")]
-#[test_case(4_000, 6_000_000; "a new cold time counts from then on")]
-fn a_cold_time_ends_as_first_told_unless_another_one_begins(cold_ms: u64, expected_us: u64) {
+#[test_case(2_600, 4_600_000; "a slightly later report does not move it")]
+#[test_case(4_000, 6_000_000; "a new cold period replaces it")]
+fn cold_period_keeps_first_reported_end(cold_ms: u64, expected_us: u64) {
     let mut state = UpstreamState::unknown();
     state.take(&Announcement { cold_ms: 4_500, ..heartbeat(Some(1), 1, true) }, 100_000);
     state.take(&Announcement { cold_ms, ..heartbeat(Some(1), 2, true) }, 2_000_000);
@@ -93,31 +93,31 @@
 }
 
 proptest! {
-    /// Two lives of one id, the words of each in any order and mixed with the other's: once the second
-    /// one has been heard, nothing that the first one said counts, and what it said last itself holds.
+    /// Two starts under one id, with their announcements in any order: once one of the second start has arrived, no
+    /// announcement of the first counts, and the latest phase of the second start applies.
     #[test]
-    fn whatever_the_order_the_second_life_holds(
+    fn second_start_prevails_in_any_order(
         order in Just((0..12usize).collect::<Vec<_>>()).prop_shuffle(),
         first_leaves in any::<bool>(),
         second_leaves in any::<bool>(),
     ) {
-        let words = |born_ms: u64, leaves: bool| {
+        let announcements = |born_ms: u64, leaves: bool| {
             (1..=6u64).map(move |sequence| heartbeat(Some(born_ms), sequence, !(leaves && sequence >= 5)))
         };
-        let said: Vec<Announcement> = words(100, first_leaves).chain(words(200, second_leaves)).collect();
+        let received: Vec<Announcement> = announcements(100, first_leaves).chain(announcements(200, second_leaves)).collect();
         let mut state = UpstreamState::unknown();
-        let mut second_heard = false;
+        let mut second_received = false;
         let mut left = false;
         for at in order {
-            state.take(&said[at], 0);
-            second_heard |= at >= 6;
-            left |= at >= 6 && !said[at].ready;
-            if second_heard {
+            state.take(&received[at], 0);
+            second_received |= at >= 6;
+            left |= at >= 6 && !received[at].ready;
+            if second_received {
                 let phase = if left { UpstreamPhase::Leaving } else { UpstreamPhase::Ready };
                 prop_assert_eq!(state.phase, phase);
             }
         }
-        // Both were heard or only the later one.
+        // Either both starts were observed, or only the later one.
         prop_assert!(state.start <= 2);
     }
 }
--- a/valetrack/src/gate/tests/outage.rs
+++ b/valetrack/src/gate/tests/outage.rs
@@ -7,8 +7,8 @@
     GateEvent::Arrive { attempt, deadline_us: u64::MAX / 2, patience: Patience::Long, priority: 1, objective: None }
 }
 
-/// Puts a call to a gate whose upstream refuses every connection; returns whether it was put to it.
-fn refused(gate: &mut Gate, seq: u64, now_us: u64) -> bool {
+/// Sends a call to a gate whose upstream refuses every connection; returns whether the gate started it.
+fn try_call(gate: &mut Gate, seq: u64, now_us: u64) -> bool {
     let mut out = Vec::new();
     gate.handle(arrival(seq), now_us, &mut out);
     let attempt = AttemptId { entry: 1, seq };
@@ -21,29 +21,29 @@
 }
 
 #[test]
-fn an_upstream_that_refuses_connections_is_tried_now_and_then() {
+fn refusing_upstream_is_probed_at_intervals() {
     let mut gate = Gate::new(GateConfig { slots: 4, rescue: false, ..GateConfig::default() }, 0);
     // A thousand calls in five seconds.
-    let tried = (0..1_000).filter(|seq| refused(&mut gate, *seq, seq * 5_000)).count();
-    assert!((10..=18).contains(&tried), "{tried} connections tried");
+    let attempted = (0..1_000).filter(|seq| try_call(&mut gate, *seq, seq * 5_000)).count();
+    assert!((10..=18).contains(&attempted), "{attempted} connections attempted");
 }
 
 #[test]
-fn an_upstream_that_is_back_gets_calls_at_once() {
+fn announcement_ends_outage_at_once() {
     let mut gate = Gate::new(GateConfig { slots: 4, rescue: false, ..GateConfig::default() }, 0);
-    assert!((0..2).all(|seq| refused(&mut gate, seq, 0)));
-    assert!(!refused(&mut gate, 2, 1_000));
+    assert!((0..2).all(|seq| try_call(&mut gate, seq, 0)));
+    assert!(!try_call(&mut gate, 2, 1_000));
     gate.handle(GateEvent::Open, 2_000, &mut Vec::new());
-    assert!(refused(&mut gate, 3, 3_000), "an announcement tells that it is back");
+    assert!(try_call(&mut gate, 3, 3_000), "the announcement ends the outage");
 }
 
 #[test]
-fn a_refusal_now_and_then_is_no_outage() {
+fn isolated_refusals_are_no_outage() {
     let mut gate = Gate::new(GateConfig { slots: 4, rescue: false, ..GateConfig::default() }, 0);
     for seq in 0..100 {
         let now_us = seq * 1_000;
         if seq % 2 == 0 {
-            assert!(refused(&mut gate, seq, now_us));
+            assert!(try_call(&mut gate, seq, now_us));
             continue;
         }
         let attempt = AttemptId { entry: 1, seq };
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn the_machine_of_an_upstream_that_is_down_is_not_asked_for_its_speed() {
+fn no_speed_request_while_upstream_is_down() {
     let mut gate = Gate::new(GateConfig { slots: 4, rescue: false, ..GateConfig::default() }, 0);
     gate.handle(GateEvent::Open, 0, &mut Vec::new());
     assert!(gate.wants_news(100_000, 50_000));
-    assert!((0..2).all(|seq| refused(&mut gate, seq, 50_000)));
+    assert!((0..2).all(|seq| try_call(&mut gate, seq, 50_000)));
     assert!(!gate.wants_news(100_000, 60_000));
     gate.answered();
-    assert!(gate.wants_news(100_000, 60_000), "it answered a health check");
+    assert!(gate.wants_news(100_000, 60_000), "the upstream answered a health check");
 }
--- a/valetrack/src/gate/tests/property.rs
+++ b/valetrack/src/gate/tests/property.rs
@@ -1,4 +1,4 @@
-//! Any interleaving of arrivals, doubles, cancels, ends, pauses and a drain.
+//! Random sequences of arrivals, duplicates, cancellations, ends, pauses and a drain.
 
 use std::collections::{HashMap, HashSet};
 
@@ -28,43 +28,52 @@
     ]
 }
 
-/// What an observer outside the gate has seen.
+/// State of the gate as observed from its actions.
 #[derive(Default)]
 struct Observer {
     running: Vec<AttemptId>,
     started: HashSet<AttemptId>,
-    given_up: HashSet<AttemptId>,
+    ended_unstarted: HashSet<AttemptId>,
     waiting: HashSet<AttemptId>,
     drained: bool,
-    most: usize,
+    max_running: usize,
 }
 
 impl Observer {
-    fn see(&mut self, actions: &[GateAction]) -> Result<(), TestCaseError> {
+    fn record(&mut self, actions: &[GateAction]) -> Result<(), TestCaseError> {
         for action in actions {
             match *action {
                 GateAction::Start { attempt } => {
                     prop_assert!(self.started.insert(attempt), "{attempt} started twice");
-                    prop_assert!(!self.given_up.contains(&attempt), "{attempt} started after it was given up");
+                    prop_assert!(
+                        !self.ended_unstarted.contains(&attempt),
+                        "{attempt} started after it was declined or cancelled"
+                    );
                     prop_assert!(!self.drained, "{attempt} started after the drain");
                     self.waiting.remove(&attempt);
                     self.running.push(attempt);
                 }
                 GateAction::Bounce { attempt, .. } => {
-                    prop_assert!(!self.running.contains(&attempt), "{attempt} was given back while it ran");
+                    prop_assert!(!self.running.contains(&attempt), "{attempt} was declined while it ran");
                     self.waiting.remove(&attempt);
-                    self.given_up.insert(attempt);
+                    self.ended_unstarted.insert(attempt);
                 }
                 GateAction::ReportCancel { attempt, result: CancelResult::NeverStarted } => {
-                    prop_assert!(!self.started.contains(&attempt), "{attempt} was told never started, but it had");
-                    self.given_up.insert(attempt);
+                    prop_assert!(
+                        !self.started.contains(&attempt),
+                        "{attempt} was reported as never started, but it had started"
+                    );
+                    self.ended_unstarted.insert(attempt);
                 }
                 GateAction::ReportCancel { attempt, result: CancelResult::Started | CancelResult::Rejected } => {
-                    prop_assert!(self.started.contains(&attempt), "{attempt} was told started, but it had not");
+                    prop_assert!(
+                        self.started.contains(&attempt),
+                        "{attempt} was reported as started, but it had not started"
+                    );
                 }
             }
         }
-        self.most = self.most.max(self.running.len());
+        self.max_running = self.max_running.max(self.running.len());
         Ok(())
     }
 }
@@ -82,7 +91,7 @@
     })]
 
     #[test]
-    fn slots_hold_and_words_are_true(
+    fn slots_are_respected_and_reported_results_are_correct(
         slots in 1..5u16,
         rescue in any::<bool>(),
         choices in prop::collection::vec((choice(), 0..20_000u64), 1..150),
@@ -98,7 +107,7 @@
             let event = match choice {
                 Choice::Arrive { seq, limit_us, patience } => {
                     let attempt = attempt(seq);
-                    if !observer.started.contains(&attempt) && !observer.given_up.contains(&attempt) {
+                    if !observer.started.contains(&attempt) && !observer.ended_unstarted.contains(&attempt) {
                         observer.waiting.insert(attempt);
                     }
                     GateEvent::Arrive { attempt, deadline_us: now_us + limit_us, patience, priority: 0, objective: None }
@@ -113,7 +122,7 @@
                 Choice::Refuse { at } => {
                     let at = at % observer.running.len();
                     let attempt = observer.running.swap_remove(at);
-                    // It took no connection, so it counts as never started after all.
+                    // The server accepted no connection, so the attempt counts as never started.
                     observer.started.remove(&attempt);
                     GateEvent::Refused { attempt, reason: BounceReason::Refused }
                 }
@@ -125,8 +134,8 @@
                 }
             };
             gate.handle(event, now_us, &mut actions);
-            observer.see(&actions)?;
-            prop_assert!(observer.running.len() <= usize::from(slots), "{} run", observer.running.len());
+            observer.record(&actions)?;
+            prop_assert!(observer.running.len() <= usize::from(slots), "{} are running", observer.running.len());
             let load = gate.load(now_us);
             prop_assert_eq!(usize::from(load.in_flight), observer.running.len());
             prop_assert_eq!(usize::from(load.queued), observer.waiting.len());
--- a/valetrack/src/gate/tests/suspension.rs
+++ b/valetrack/src/gate/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A VM that is suspended at any point: what waited at its gate never starts, and what ran ends.
+//! A VM that is suspended at any point: attempts that waited at its gate never start, and running ones end.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 /// Slots of the server.
 const SLOTS: u16 = 2;
 
-/// What became of an attempt.
+/// State of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum AttemptState {
     Waits,
     Runs,
-    GivenBack,
+    Declined,
     Ended,
 }
 
@@ -44,16 +44,16 @@
     })]
 
     #[test]
-    fn what_waited_through_a_suspension_never_starts(steps in prop::collection::vec(some_step(), 1..60)) {
+    fn attempt_that_waited_during_suspension_never_starts(steps in prop::collection::vec(some_step(), 1..60)) {
         let config = GateConfig { slots: SLOTS, queue_max_us: 10_000_000, rescue: false, ..GateConfig::default() };
         let mut gate = Gate::new(config, 0);
-        let mut fates: BTreeMap<AttemptId, Fate> = BTreeMap::new();
+        let mut states: BTreeMap<AttemptId, AttemptState> = BTreeMap::new();
         for (number, step) in steps.into_iter().enumerate() {
             let now_us = number as u64 * 1_000;
             let attempt = |seq: usize| AttemptId { entry: 7, seq: seq as u64 };
             let event = match step {
                 Step::Arrive => {
-                    fates.insert(attempt(number), Fate::Waits);
+                    states.insert(attempt(number), AttemptState::Waits);
                     let (deadline_us, patience) = (now_us + 90_000_000, Patience::Last);
                     GateEvent::Arrive { attempt: attempt(number), deadline_us, patience, priority: 0, objective: None }
                 }
@@ -61,37 +61,37 @@
                 Step::Cancel(seq) => GateEvent::Cancel { attempt: attempt(seq) },
                 Step::Resume => GateEvent::Resumed,
             };
-            let mut said = Vec::new();
-            gate.handle(event, now_us, &mut said);
+            let mut actions = Vec::new();
+            gate.handle(event, now_us, &mut actions);
             if let GateEvent::Done { attempt, .. } = event
-                && let Some(fate @ Fate::Runs) = fates.get_mut(&attempt)
+                && let Some(state @ AttemptState::Runs) = states.get_mut(&attempt)
             {
-                *fate = Fate::Ended;
+                *state = AttemptState::Ended;
             }
-            for action in said {
+            for action in actions {
                 match action {
                     GateAction::Start { attempt } => {
-                        let before = fates.insert(attempt, Fate::Runs);
-                        prop_assert_eq!(before, Some(Fate::Waits));
+                        let before = states.insert(attempt, AttemptState::Runs);
+                        prop_assert_eq!(before, Some(AttemptState::Waits));
                     }
                     GateAction::Bounce { attempt, reason } => {
-                        let before = fates.insert(attempt, Fate::GivenBack);
-                        prop_assert_eq!(before, Some(Fate::Waits));
+                        let before = states.insert(attempt, AttemptState::Declined);
+                        prop_assert_eq!(before, Some(AttemptState::Waits));
                         let resumed = matches!(event, GateEvent::Resumed);
                         prop_assert!(!resumed || reason == BounceReason::NotReady, "{:?}", reason);
                     }
                     GateAction::ReportCancel { attempt, result } => {
-                        let ran = matches!(fates.get(&attempt), Some(Fate::Runs | Fate::Ended));
+                        let ran = matches!(states.get(&attempt), Some(AttemptState::Runs | AttemptState::Ended));
                         prop_assert_eq!(ran, result == CancelResult::Started);
-                        // A copy that comes later than the word is no arrival of its own.
-                        fates.entry(attempt).or_insert(Fate::GivenBack);
+                        // A copy that arrives after the cancellation is not a new arrival.
+                        states.entry(attempt).or_insert(AttemptState::Declined);
                     }
                 }
             }
             if matches!(event, GateEvent::Resumed) {
-                prop_assert!(fates.values().all(|fate| *fate != Fate::Waits));
+                prop_assert!(states.values().all(|state| *state != AttemptState::Waits));
             }
-            prop_assert!(fates.values().filter(|fate| **fate == Fate::Runs).count() <= usize::from(SLOTS));
+            prop_assert!(states.values().filter(|state| **state == AttemptState::Runs).count() <= usize::from(SLOTS));
         }
     }
 }
--- a/valetrack/src/gate/tests/upstream.rs
+++ b/valetrack/src/gate/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! What announcements make of the upstream's state.
+//! Effect of announcements on the upstream's state.
 
 use std::sync::Arc;
 
@@ -29,17 +29,17 @@
 }
 
 #[test]
-fn a_late_heartbeat_does_not_undo_leaving() {
+fn late_heartbeat_does_not_undo_leaving() {
     let mut state = UpstreamState::unknown();
     assert!(state.take(&heartbeat("a", 1, true), 0));
     assert!(state.take(&heartbeat("a", 3, false), 0));
     assert!(!state.take(&heartbeat("a", 2, true), 0));
-    assert!(!state.take(&heartbeat("a", 4, true), 0), "leaving is for good");
+    assert!(!state.take(&heartbeat("a", 4, true), 0), "leaving is final");
     assert_eq!(state.phase, UpstreamPhase::Leaving);
 }
 
 #[test]
-fn an_upstream_that_only_deregisters_leaves_too() {
+fn deregistration_alone_means_leaving() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat("a", 1, true), 0);
     assert!(state.take(&deregistration("a"), 0));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn another_start_takes_work_and_the_earlier_one_is_not_heard_any_more() {
+fn new_start_is_ready_and_earlier_one_is_ignored() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat("a", 9, false), 0);
     assert!(state.take(&heartbeat("b", 1, true), 0));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_cold_start_ends_when_it_was_first_said_to() {
+fn cold_period_ends_at_first_reported_time() {
     let mut state = UpstreamState::unknown();
     state.take(&Announcement { cold_ms: 3_000, ..heartbeat("a", 1, true) }, 1_000_000);
     state.take(&Announcement { cold_ms: 1_500, ..heartbeat("a", 2, true) }, 2_600_000);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_heartbeat_held_up_over_several_starts_is_late() {
+fn heartbeat_delayed_over_several_starts_is_ignored() {
     let mut state = UpstreamState::unknown();
     for id in ["a", "b", "c"] {
         state.take(&heartbeat(id, 1, true), 0);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_late_word_of_leaving_by_a_start_that_was_never_heard_changes_nothing() {
+fn late_deregistration_of_unseen_start_changes_nothing() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat("b", 1, true), 0);
     assert!(!state.take(&deregistration("a"), 500_000));
@@ -84,10 +84,10 @@
 }
 
 #[test]
-fn the_living_start_is_believed_again_after_a_late_heartbeat_of_an_earlier_one() {
+fn live_start_is_accepted_again_after_late_earlier_heartbeat() {
     let mut state = UpstreamState::unknown();
     state.take(&heartbeat("b", 7, true), 0);
-    assert!(state.take(&heartbeat("a", 90, true), 200_000), "nothing tells that it is the earlier one");
+    assert!(state.take(&heartbeat("a", 90, true), 200_000), "nothing shows that this is the earlier start");
     assert!(!state.take(&heartbeat("b", 8, true), 1_500_000));
     assert!(state.take(&heartbeat("b", 9, true), 3_000_000));
     assert_eq!(state.id.as_deref(), Some("b"));
