--- a/valetrack/src/gate/kept.rs
+++ b/valetrack/src/gate/kept.rs
@@ -12,18 +12,18 @@
 
 /// Share of one server's runs that keep the speed of their start.
 #[derive(Debug, Clone, Copy)]
-pub struct SpeedKept {
+pub struct KeptSpeedShare {
     share: f64,
 }
 
-impl Default for SpeedKept {
+impl Default for KeptSpeedShare {
     fn default() -> Self {
         // Before the first sample, both predictions count alike.
         Self { share: 0.5 }
     }
 }
 
-impl SpeedKept {
+impl KeptSpeedShare {
     /// Returns the share of runs that keep the speed of their start, from zero to one.
     pub fn share(&self) -> f64 {
         self.share
--- a/valetrack/src/gate/mod.rs
+++ b/valetrack/src/gate/mod.rs
@@ -29,7 +29,7 @@
 pub use cold::{ColdBound, ColdRule};
 pub use crash::CrashWatch;
 pub use header::{ACCOUNT_HEADER, REPEAT_HEADER, travelling};
-pub use kept::SpeedKept;
+pub use kept::KeptSpeedShare;
 pub use ledger::RunLedger;
 pub use limit::ConcurrencyLimit;
 pub use message::{
--- a/valetrack/src/gate/run/machine.rs
+++ b/valetrack/src/gate/run/machine.rs
@@ -39,14 +39,14 @@
         self.gate.borrow_mut().asked(steady_us());
         match self.pool.machine_load(path).await {
             MachineAnswer::Load { load, cold_ms } => {
-                self.gate.borrow_mut().answered();
+                self.gate.borrow_mut().on_health_check_answered();
                 self.record_load(load);
                 if let Some(cold_ms) = cold_ms {
                     self.update_cold_until(cold_ms);
                 }
             }
-            MachineAnswer::NoLoad => self.gate.borrow_mut().told_nothing(),
-            MachineAnswer::None => self.gate.borrow_mut().unanswered(),
+            MachineAnswer::NoLoad => self.gate.borrow_mut().on_no_load_reported(),
+            MachineAnswer::None => self.gate.borrow_mut().on_speed_request_unanswered(),
         }
     }
 
--- a/valetrack/src/gate/speed.rs
+++ b/valetrack/src/gate/speed.rs
@@ -1,6 +1,6 @@
 //! Speed of one server, learned from the runs at its gate and from the reports of its machine.
 
-use super::kept::SpeedKept;
+use super::kept::KeptSpeedShare;
 use super::message::{LoadReport, RunTimes};
 use super::pace::{Pace, SLOWDOWN_DURATION_US, fading};
 
@@ -80,7 +80,7 @@
     /// Time over which that share was observed.
     observed_us: f64,
     /// Whether runs keep the speed of their start.
-    kept: SpeedKept,
+    kept: KeptSpeedShare,
 }
 
 impl Default for Speed {
@@ -102,7 +102,7 @@
             slow_factor: EPISODE_FACTOR_MIN,
             slow_share: 0.0,
             observed_us: 0.0,
-            kept: SpeedKept::default(),
+            kept: KeptSpeedShare::default(),
         }
     }
 }
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -236,7 +236,7 @@
     }
 
     /// Records that the server answered a health check.
-    pub fn answered(&mut self) {
+    pub fn on_health_check_answered(&mut self) {
         self.outage.clear();
     }
 
@@ -252,12 +252,12 @@
     }
 
     /// Records that a request for the machine's speed got no answer in time.
-    pub fn unanswered(&mut self) {
+    pub fn on_speed_request_unanswered(&mut self) {
         self.speed.record_no_answer();
     }
 
     /// Records that the machine answered a request for its speed without reporting one.
-    pub fn told_nothing(&mut self) {
+    pub fn on_no_load_reported(&mut self) {
         self.speed.record_no_load();
     }
 
--- a/valetrack/src/gate/tests/outage.rs
+++ b/valetrack/src/gate/tests/outage.rs
@@ -59,6 +59,6 @@
     assert!(gate.wants_news(100_000, 50_000));
     assert!((0..2).all(|seq| try_call(&mut gate, seq, 50_000)));
     assert!(!gate.wants_news(100_000, 60_000));
-    gate.answered();
+    gate.on_health_check_answered();
     assert!(gate.wants_news(100_000, 60_000), "the upstream answered a health check");
 }
--- a/valetrack/src/gate/tests/speed.rs
+++ b/valetrack/src/gate/tests/speed.rs
@@ -3,8 +3,8 @@
 use test_case::test_case;
 
 use crate::gate::{
-    AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, LoadReport, Objective, Pace, Patience, RunTimes,
-    SLOWDOWN_DURATION_US, Speed, SpeedKept, utility_at,
+    AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, KeptSpeedShare, LoadReport, Objective, Pace,
+    Patience, RunTimes, SLOWDOWN_DURATION_US, Speed, utility_at,
 };
 
 /// Returns the estimate for a machine that is certainly slowed by `slow`, with runs of one kind only.
@@ -32,16 +32,16 @@
 fn possibly_slow_machine_has_less_utility_than_average_duration() {
     let estimate = Pace { slow_chance: 0.25, lasts_us: 1_000_000.0, ..slow_estimate(5.0, 1.0) };
     let average = utility_at(estimate.expected_us(220_000), 600_000.0);
-    let utility = estimate.worth(220_000, 0.0, 600_000.0);
-    assert!(utility < average - 0.1, "{utility} {average}");
-    assert!((0.70..0.78).contains(&utility), "three of four runs are in time: {utility}");
+    let expected = estimate.worth(220_000, 0.0, 600_000.0);
+    assert!(expected < average - 0.1, "{expected} {average}");
+    assert!((0.70..0.78).contains(&expected), "three of four runs are in time: {expected}");
 }
 
 /// Records `runs` runs of 290 ms of work on a machine that is slowed five times in a quarter of its periods of 150 ms.
 /// Returns the learned share of runs that keep their speed.
 fn kept_share_after(runs: usize, keeps: bool) -> f64 {
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut kept = SpeedKept::default();
+    let mut kept = KeptSpeedShare::default();
     for _ in 0..runs {
         let speeds: Vec<f64> = (0..20).map(|_| if rng.u8(0..4) == 0 { 5.0 } else { 1.0 }).collect();
         let factor_at = |at: usize| speeds[at];
