--- a/valetrack/src/gate/speed.rs
+++ b/valetrack/src/gate/speed.rs
@@ -167,12 +167,12 @@
         self.cold_until_us = until_us;
     }
 
-    /// Returns the reported slowdown without the effect of the cold start, which is the lowest slowdown reported since
-    /// the server started.
+    /// Returns the reported slowdown divided by the effect of the cold start. That effect is estimated as the lowest
+    /// slowdown reported since the start.
     ///
-    /// The machine of a cold server reports that work takes twice as long. If that counted as an unending slow episode,
-    /// calls would avoid cold servers and flood the others. A fleet of 195 VMs that started cold under load did so, and
-    /// avoided idle servers for seconds longer.
+    /// The machine of a cold server reports that work takes twice as long. While that counted as an unending slow
+    /// episode, calls avoided cold servers, and idle ones for seconds longer, and flooded the other servers, as seen on
+    /// a fleet of 195 VMs that started cold under load.
     fn without_cold_factor(&mut self, slowdown: f64, now_us: u64) -> f64 {
         if now_us >= self.cold_until_us {
             return slowdown;
@@ -185,8 +185,8 @@
         slowdown / factor
     }
 
-    /// Records that the server began to accept work. The machine is asked until it is known whether its speed varies,
-    /// since otherwise the first runs would start on slow machines unnoticed.
+    /// Treats the machine's speed as variable when the server begins to accept work, so that the machine is asked until
+    /// more is known. Otherwise, the first runs would start on slow machines unnoticed.
     pub fn assume_variable(&mut self, now_us: u64) {
         self.variable_until_us = self.variable_until_us.max(now_us + VARIABLE_US);
     }
@@ -244,9 +244,9 @@
 
     /// Returns whether a run of `work_us` should be deferred until the present slow episode ends.
     ///
-    /// A run that keeps the speed of a slow machine occupies a slot for several times its usual duration. After the
-    /// episode, it ends sooner and leaves the slot to others meanwhile. Without this rule, machines that are slowed
-    /// five times for a quarter of the time filled their slots with such runs.
+    /// A run that keeps the speed of a slow machine occupies a slot for several times its usual duration. If it starts
+    /// after the episode, it ends sooner, and other runs can use the slot until then. Without this rule, a fleet whose
+    /// machines were slowed five times for a quarter of the time lost much utility.
     pub fn is_better_deferred(&self, work_us: u64, now_us: u64) -> bool {
         let is_slow = self.episode_us.is_some() && now_us <= self.reported_us + DEFER_REPORT_AGE_MAX_US;
         is_slow && work_us > 0 && self.estimate(now_us).is_better_later(work_us)
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -84,9 +84,9 @@
     /// Returns the time from which on a run would probably miss its deadline even on an average server.
     ///
     /// A run that starts with no time left is cut off and ends as "may have run", although declining the call would
-    /// have been correct and in time. Callers whose work is not repeatable suffer from that. A soak test showed a call
-    /// that waited 0.96 s and then ran for its last 4 ms, and a call that started 1 ms before its expected duration was
-    /// all that was left, on a busy machine, and was cut off.
+    /// have been correct and in time. That affects callers whose work is not repeatable. A soak test showed two such
+    /// calls: one waited 0.96 s and ran for its last 4 ms, and one started on a busy machine with 1 ms more than its
+    /// expected duration left, and was cut off.
     fn deadline_start_by_us(&self) -> u64 {
         self.deadline_us.saturating_sub(self.work_us + self.margin_us)
     }
@@ -183,7 +183,7 @@
         let in_flight = self.running.len() as u16;
         let limit = match self.cold.remaining(now_us) {
             None => self.limit(now_us),
-            // The end of a run does not allow another start.
+            // The cold limit is reached, so the end of a run does not allow another start.
             Some(0) => 0,
             // Slots of a cold server that may not be filled now do not count as free.
             Some(left) => self.limit(now_us).min(in_flight.saturating_add(left as u16)),
@@ -322,7 +322,7 @@
             GateEvent::Evacuate => self.evacuate(now_us, out),
             GateEvent::Return { cold_until_us } => self.return_to_service(cold_until_us),
             GateEvent::Open => self.open(now_us),
-            // Deadlines kept running during the suspension, and the entries have given these attempts up. Running
+            // Deadlines kept running during the suspension, and the entries have abandoned these attempts. Running
             // attempts were paused with the server and end normally.
             GateEvent::Resumed => self.decline_all(BounceReason::NotReady, now_us, out),
         }
--- a/valetrack/src/gate/state/queue.rs
+++ b/valetrack/src/gate/state/queue.rs
@@ -112,8 +112,8 @@
     /// Returns why a call may not wait here, if it may not.
     ///
     /// A call that would end too late is declined, since it would take a slot from a call that could still be in time.
-    /// Without this rule, a fleet of 69 VMs under a burst of 2.2 times its usual load spent slots on answers that came
-    /// too late, and likewise when it started cold.
+    /// Without this rule, and without counting the time that callers had waited before, a fleet of 69 VMs lost utility
+    /// in a burst of 2.2 times its usual load and in a cold start.
     fn queue_decline_reason(&self, call: &Waiting, wait_max_us: u64, now_us: u64) -> Option<BounceReason> {
         let Waiting { deadline_us, patience, run_us, .. } = *call;
         if self.config.rescue && patience != Patience::Last && self.stalled(now_us) {
