--- a/program/src/main.rs
+++ b/program/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts valetrack on whichever platform its settings name.
+//! Entry point of the `valetrack` executable, which includes the managed platform.
 
 use std::process::ExitCode;
 
