--- a/valetrack/benches/decision.rs
+++ b/valetrack/benches/decision.rs
@@ -1,4 +1,5 @@
-//! Time of the hot decisions; run by command (`cargo bench -p valetrack`), not as a test.
+//! Benchmarks of the decisions that are made for every call. They run with `cargo bench -p valetrack` only, not as
+//! tests.
 
 use std::sync::Arc;
 
@@ -9,7 +10,7 @@
 use valetrack::link::message::{CallHead, Reply, ReplyHead, Riding};
 use valetrack::placement::{Demand, Policy, RepeatBudget, ServerSet, ServiceView};
 
-/// Makes a view of servers that were all heard of.
+/// Creates a view with a load report from each server.
 fn view_of(servers: usize) -> ServiceView {
     let mut view = ServiceView::new(Policy::Valetrack);
     for server in 0..servers {
@@ -34,16 +35,16 @@
     for servers in [4, 16, 56] {
         let mut view = view_of(servers);
         let mut rng = fastrand::Rng::with_seed(1);
-        c.bench_function(&format!("pick in time among {servers}"), |b| {
+        c.bench_function(&format!("pick within objective among {servers}"), |b| {
             b.iter(|| view.pick_in_time(ServerSet::default(), demand, 10, &mut rng));
         });
     }
 }
 
-fn repeat_budget(c: &mut Criterion) {
+fn retry_budget(c: &mut Criterion) {
     let mut budget = RepeatBudget::new(20, 4);
     let mut now_us = 0;
-    c.bench_function("a call and a repeat in a budget of repeats", |b| {
+    c.bench_function("a call and a retry in a retry budget", |b| {
         b.iter(|| {
             now_us += 3_000;
             budget.begin(0.0, now_us);
@@ -82,7 +83,7 @@
     c.bench_function("unpack a reply", |b| b.iter(|| unpack::<ReplyHead>(frame.clone())));
 }
 
-/// Makes the head of a call with a body of this length.
+/// Creates the head of a call with a body of this length.
 fn head(path: &str, body_bytes: u32) -> CallHead {
     CallHead {
         attempt: AttemptId { entry: 1, seq: 1 },
@@ -110,7 +111,7 @@
     }
 }
 
-/// Makes a history of this many crashes, each under five calls of their own.
+/// Creates a history of this many crashes, each with five suspects of its own.
 fn history_of(crashes: u64, key: FingerprintKey) -> CrashHistory {
     let report = |hlc: u64| {
         let suspect = |number: u64| {
@@ -125,29 +126,28 @@
     history
 }
 
-/// What a call pays for being told from those that crash upstreams; a large body is not read.
+/// Measures the cost of checking a call against the recorded crashes and of recording an answer. The body of a call
+/// is only read if a suspect has the same head, so a usual call doesn't pay for a fingerprint of its body.
 fn crash_history(c: &mut Criterion) {
     let key = FingerprintKey::of_parts(1, 2);
     let body = vec![7; 1 << 20];
     let call = head("/usual", body.len() as u32);
     for crashes in [0, 3, 192] {
         let history = history_of(crashes, key);
-        c.bench_function(&format!("standing of a call with a body of 1 MB among {crashes} crashes"), |b| {
+        c.bench_function(&format!("status of a call with a body of 1 MB among {crashes} crashes"), |b| {
             b.iter(|| history.has_suspects().then(|| history.standing(&call, &body)));
         });
     }
-    c.bench_function("fingerprint of a body of 1 MB, which no usual call pays", |b| {
-        b.iter(|| key.body_fingerprint(&body))
-    });
+    c.bench_function("fingerprint of a body of 1 MB", |b| b.iter(|| key.body_fingerprint(&body)));
     let mut answers = RecentAnswers::default();
     let (small, bytes) = (head("/usual", 100), [7; 100]);
-    c.bench_function("memory of an answer to a call with a body of 100 bytes", |b| {
+    c.bench_function("record of an answer to a call with a body of 100 bytes", |b| {
         b.iter(|| answers.answered(key, &small, &bytes, 1));
     });
-    c.bench_function("memory of an answer to a call with a body of 1 MB", |b| {
+    c.bench_function("record of an answer to a call with a body of 1 MB", |b| {
         b.iter(|| answers.answered(key, &call, &body, 1));
     });
 }
 
-criterion_group!(benches, pick, pick_in_time, repeat_budget, gate, codec, crash_history);
+criterion_group!(benches, pick, pick_in_time, retry_budget, gate, codec, crash_history);
 criterion_main!(benches);
