--- a/standin/tests/at_most_once.rs
+++ b/standin/tests/at_most_once.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{Fleet, press, told, wait_for};
+use common::{Fleet, outcome_of, submit, wait_for};
 use standin::client::Client;
 use test_case::test_case;
 use tokio::time::sleep;
@@ -46,13 +46,13 @@
 async fn caller(doors: Arc<Vec<Client>>, key: String, first: usize, told_all: Told) {
     for again in 0..PRESSES_MAX {
         let door = &doors[(first + again) % doors.len()];
-        let reply = press(door, &key).await;
+        let reply = submit(door, &key).await;
         if let Ok(reply) = &reply
             && reply.status == 200
         {
             assert_eq!(reply.body, key.as_bytes(), "another call's answer");
         }
-        let word = told(&reply);
+        let word = outcome_of(&reply);
         told_all.lock().expect("no panic").entry(key.clone()).or_default().push(word.clone());
         if word == "ran" {
             return;
@@ -86,14 +86,14 @@
         }
         Trouble::StoreDown | Trouble::StoreSlow => {
             let query = if trouble == Trouble::StoreDown { "down=1" } else { "slow_ms=2000" };
-            fleet.fault(fleet.store_addr, query).await;
+            fleet.set_fault(fleet.store_addr, query).await;
             sleep(pause(200, 1_500, rng)).await;
-            fleet.fault(fleet.store_addr, "").await;
+            fleet.set_fault(fleet.store_addr, "").await;
             sleep(pause(300, 1_500, rng)).await;
         }
         Trouble::StoreLosesAnswers | Trouble::StoreDropsWrites => {
             let query = if trouble == Trouble::StoreLosesAnswers { "lose=3" } else { "fail=3" };
-            fleet.fault(fleet.store_addr, query).await;
+            fleet.set_fault(fleet.store_addr, query).await;
             sleep(pause(100, 400, rng)).await;
         }
     }
@@ -113,7 +113,7 @@
 #[tokio::test]
 async fn no_key_runs_twice_and_not_run_is_true(troubles: &[Trouble]) {
     let mut fleet = Fleet::with_intake(VMS).await;
-    let doors = Arc::new((0..VMS).map(|at| fleet.door(at)).collect::<Vec<_>>());
+    let doors = Arc::new((0..VMS).map(|at| fleet.client_at(at)).collect::<Vec<_>>());
     let told_all = Told::default();
     let stop = Arc::new(AtomicBool::new(false));
     let load = tokio::spawn(load(doors, told_all.clone(), stop.clone()));
@@ -172,18 +172,18 @@
 async fn keys_of_a_dead_home_are_taken_over() {
     let mut fleet = Fleet::with_intake(3).await;
     for number in 0..40 {
-        assert_eq!(told(&press(&fleet.door(0), &format!("before-{number}")).await), "ran");
+        assert_eq!(outcome_of(&submit(&fleet.client_at(0), &format!("before-{number}")).await), "ran");
     }
     // Finished keys reach the store with a short delay.
     sleep(Duration::from_millis(500)).await;
     fleet.kill_node(1);
     let began = Instant::now();
-    let door = fleet.door(0);
+    let door = fleet.client_at(0);
     for number in 0..40 {
         let key = format!("before-{number}");
-        wait_for("the kept answer", async || told(&press(&door, &key).await) == "ran").await;
+        wait_for("the kept answer", async || outcome_of(&submit(&door, &key).await) == "ran").await;
         let key = format!("after-{number}");
-        wait_for("a new run", async || told(&press(&door, &key).await) == "ran").await;
+        wait_for("a new run", async || outcome_of(&submit(&door, &key).await) == "ran").await;
     }
     println!("every key answered {:?} after the home's death", began.elapsed());
     let runs = fleet.runs().await;
@@ -195,12 +195,12 @@
 async fn a_press_that_joins_waits_for_the_same_run() {
     let fleet = Fleet::with_intake(3).await;
     for vm in &fleet.vms {
-        fleet.fault(vm.server_addr, "slow_us=300000").await;
+        fleet.set_fault(vm.server_addr, "slow_us=300000").await;
     }
-    let (first, second, third) = (fleet.door(0), fleet.door(1), fleet.door(2));
-    let (a, b, c) = tokio::join!(press(&first, "k"), press(&second, "k"), press(&third, "k"));
+    let (first, second, third) = (fleet.client_at(0), fleet.client_at(1), fleet.client_at(2));
+    let (a, b, c) = tokio::join!(submit(&first, "k"), submit(&second, "k"), submit(&third, "k"));
     for reply in [&a, &b, &c] {
-        assert_eq!(told(reply), "ran");
+        assert_eq!(outcome_of(reply), "ran");
     }
     let number = |reply: &Result<standin::client::Reply, String>| {
         reply.as_ref().map(|reply| reply.header("standin-run").to_owned()).unwrap_or_default()
@@ -212,33 +212,33 @@
 #[tokio::test]
 async fn a_store_that_is_down_ends_new_keys_at_once_with_a_time_to_come_back() {
     let fleet = Fleet::with_intake(3).await;
-    fleet.fault(fleet.store_addr, "down=1").await;
+    fleet.set_fault(fleet.store_addr, "down=1").await;
     let mut words = BTreeMap::new();
     for number in 0..40 {
         let began = Instant::now();
-        let reply = press(&fleet.door(number % 3), &format!("k-{number}")).await;
-        *words.entry(told(&reply)).or_insert(0) += 1;
+        let reply = submit(&fleet.client_at(number % 3), &format!("k-{number}")).await;
+        *words.entry(outcome_of(&reply)).or_insert(0) += 1;
         let reply = reply.expect("an answer");
         assert!(began.elapsed() < Duration::from_millis(1_200), "held back: {:?}", began.elapsed());
         assert!(!reply.header("retry-after").is_empty(), "{reply:?}");
     }
     assert_eq!(words, BTreeMap::from([("not-run".to_owned(), 40)]));
     assert!(fleet.runs().await.is_empty());
-    fleet.fault(fleet.store_addr, "").await;
-    wait_for("the store's return", async || told(&press(&fleet.door(0), "k-0").await) == "ran").await;
+    fleet.set_fault(fleet.store_addr, "").await;
+    wait_for("the store's return", async || outcome_of(&submit(&fleet.client_at(0), "k-0").await) == "ran").await;
 }
 
 #[tokio::test]
 async fn a_node_that_starts_first_does_not_take_every_page() {
     let mut fleet = Fleet::start().await;
-    fleet.roll(common::SHOP);
-    fleet.grow("intake", 1).await;
+    fleet.publish(common::INTAKE_BUNDLE);
+    fleet.add_vms("intake", 1).await;
     wait_for("the first node", async || fleet.bundle_number(0).await > 0).await;
     sleep(Duration::from_millis(1_200)).await;
-    fleet.grow("intake", 2).await;
+    fleet.add_vms("intake", 2).await;
     fleet.wait_ready().await;
     for number in 0..40 {
-        assert_eq!(told(&press(&fleet.door(number % 3), &format!("k-{number}")).await), "ran");
+        assert_eq!(outcome_of(&submit(&fleet.client_at(number % 3), &format!("k-{number}")).await), "ran");
     }
     let homes = (0..3).filter(|&at| fleet.log(at).contains("event=claim.run")).count();
     assert!(homes >= 2, "one node holds all pages");
--- a/standin/tests/claim_rollback.rs
+++ b/standin/tests/claim_rollback.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::{Fleet, press, told, wait_for};
+use common::{Fleet, outcome_of, submit, wait_for};
 use standin::client::Client;
 use test_case::test_case;
 use tokio::time::sleep;
@@ -89,8 +89,8 @@
 async fn press_again(fleet: &Fleet, doors: &[usize]) -> BTreeMap<String, usize> {
     let mut presses = tokio::task::JoinSet::new();
     for number in 0..KEYS {
-        let door = fleet.door(doors[number % doors.len()]);
-        presses.spawn(async move { told(&press(&door, &key(number)).await) });
+        let door = fleet.client_at(doors[number % doors.len()]);
+        presses.spawn(async move { outcome_of(&submit(&door, &key(number)).await) });
     }
     let mut words = BTreeMap::new();
     while let Some(word) = presses.join_next().await {
@@ -110,7 +110,7 @@
     let fleet = Fleet::with_intake(VMS).await;
     fleet.store_command("_copy").await;
     for number in 0..KEYS {
-        assert_eq!(told(&press(&fleet.door(number % VMS), &key(number)).await), "ran");
+        assert_eq!(outcome_of(&submit(&fleet.client_at(number % VMS), &key(number)).await), "ran");
     }
     fleet
 }
@@ -162,9 +162,9 @@
     let fleet = keys_that_ran_after_the_copy().await;
     come_back(&fleet, "").await;
     for number in 0..KEYS {
-        let door = fleet.door(number % VMS);
+        let door = fleet.client_at(number % VMS);
         let new = format!("new-{number}");
-        wait_for("a new key's run", async || told(&press(&door, &new).await) == "ran").await;
+        wait_for("a new key's run", async || outcome_of(&submit(&door, &new).await) == "ran").await;
     }
     let asked: usize = (0..VMS).map(|at| fleet.log(at).matches("event=claim.history_unavailable").count()).sum();
     assert_eq!(asked, 0, "nobody had to be told that a key may have run");
@@ -176,11 +176,11 @@
     let fleet = keys_that_ran_after_the_copy().await;
     come_back(&fleet, "").await;
     for number in KEYS..2 * KEYS {
-        let _ = press(&fleet.door(number % VMS), &key(number)).await;
+        let _ = submit(&fleet.client_at(number % VMS), &key(number)).await;
     }
     come_back(&fleet, "&history=9").await;
     for number in 0..2 * KEYS {
-        let _ = press(&fleet.door((number + 1) % VMS), &key(number)).await;
+        let _ = submit(&fleet.client_at((number + 1) % VMS), &key(number)).await;
     }
     sleep(Duration::from_millis(1_500)).await;
     assert_nothing_ran_twice(&fleet).await;
@@ -195,8 +195,8 @@
         fleet.wait_ready().await;
         for number in 0..8 {
             let new = format!("new-{at}-{number}");
-            let door = fleet.door((at + 1) % VMS);
-            wait_for("a new key's run", async || told(&press(&door, &new).await) == "ran").await;
+            let door = fleet.client_at((at + 1) % VMS);
+            wait_for("a new key's run", async || outcome_of(&submit(&door, &new).await) == "ran").await;
         }
     }
     assert_nothing_ran_twice(&fleet).await;
@@ -224,7 +224,7 @@
         for number in [number, rng.usize(0..=number)] {
             let (doors, at) = (doors.clone(), rng.usize(..VMS));
             // What callers are told in the middle of faults says nothing; the servers' counts do.
-            presses.spawn(async move { press(&doors[at], &key(number)).await.is_ok() });
+            presses.spawn(async move { submit(&doors[at], &key(number)).await.is_ok() });
         }
         sleep(Duration::from_millis(20)).await;
     }
@@ -271,7 +271,7 @@
         // A fleet that is struck before any page has its home refuses all keys, and shows nothing.
         let mut fleet = keys_that_ran_after_the_copy().await;
         let stop = Arc::new(AtomicBool::new(false));
-        let doors = Arc::new((0..VMS).map(|at| fleet.door(at)).collect::<Vec<_>>());
+        let doors = Arc::new((0..VMS).map(|at| fleet.client_at(at)).collect::<Vec<_>>());
         let load = tokio::spawn(press_on(doors, rng.fork(), stop.clone()));
         let began = Instant::now();
         let mut suspended = Vec::new();
--- a/standin/tests/common/managed.rs
+++ b/standin/tests/common/managed.rs
@@ -1,4 +1,4 @@
-//! Nodes on the stand-in of the managed platform, as real processes.
+//! A fleet of real node processes on the stand-in of the managed platform.
 
 #![allow(dead_code, reason = "each test binary uses its own part of the fleet")]
 
@@ -16,10 +16,10 @@
 use super::{free_addr, kill, send_signal, valetrack, wait_for};
 
 const HOST: (&str, &str) = ("host", "farm.example");
-/// For how long a node finds that its VM was suspended when it gets SIGUSR2, in milliseconds: longer than
-/// leases, links and news last.
+/// Length of the VM suspension that SIGUSR2 simulates at a node. It exceeds the lifetimes of leases, links and
+/// reports.
 pub const SUSPENSION_MS: u64 = 10_000;
-/// Calls a second that an upstream bears while it is cold.
+/// Calls per second that a cold upstream accepts.
 pub const COLD_PER_S: f64 = 16.0;
 
 /// One VM: its upstream, and the node beside it.
@@ -32,27 +32,28 @@
     pub link_addr: SocketAddr,
     pub upstream: Arc<ManagedServer>,
     pub store_addr: SocketAddr,
-    /// How the store treats this VM's node alone.
+    /// Faults of the store towards this VM's node alone.
     pub store_access: NodeAccess,
     pub node: Option<Child>,
 }
 
-/// Nodes of two services over two domains, and their store; all are ended when it is dropped.
+/// Nodes of two services over two domains, and their store. Dropping it kills all nodes.
 pub struct Fleet {
     pub store: ManagedStore,
     pub store_addr: SocketAddr,
     pub vms: Vec<Vm>,
-    /// Time for which callers still come after a stop has begun, in milliseconds.
+    /// Time for which callers still send calls to a node after its stop has begun.
     pub linger_ms: u64,
 }
 
-/// Shares a route's calls evenly among services.
+/// Splits a route's calls evenly between two services.
 fn split_evenly(mut route: Value, services: [&str; 2]) -> Value {
     route["split"] = services.iter().map(|service| json!({ "service": service, "weight": 50 })).collect();
     route["service"] = Value::Null;
     route
 }
 
+/// Returns a configuration whose route `/sheet/` leads to the given service.
 pub fn config(version: u64, service: &str) -> String {
     let route = |name: &str, prefix: &str, repeat: &str, timeout_ms: u64, service: &str| {
         json!({
@@ -77,10 +78,10 @@
 
 impl Fleet {
     pub async fn start(services: &[&'static str]) -> Self {
-        Self::start_lingering(services, 600).await
+        Self::start_with_linger(services, 600).await
     }
 
-    pub async fn start_lingering(services: &[&'static str], linger_ms: u64) -> Self {
+    pub async fn start_with_linger(services: &[&'static str], linger_ms: u64) -> Self {
         let store = ManagedStore::default();
         let store_addr = store.start().await.expect("a free port");
         store.put("op/config", &config(3, "rounds"));
@@ -112,7 +113,7 @@
         self.start_node(at);
     }
 
-    /// Adds a VM whose upstream is of a version.
+    /// Adds a VM whose upstream reports the given version.
     pub async fn add_version(&mut self, service: &'static str, version: &str) {
         self.add(service).await;
         if let Some(vm) = self.vms.last() {
@@ -121,7 +122,7 @@
     }
 
     pub fn start_node(&mut self, at: usize) {
-        let further = vec![
+        let extra_flags = vec![
             ("linger-ms", self.linger_ms.to_string()),
             ("stop-grace-s", "4".to_owned()),
             ("retry-reserve", "60".to_owned()),
@@ -139,7 +140,7 @@
             link_addr: vm.link_addr,
             store_addr: vm.store_addr,
         };
-        vm.node = Some(line.command(&valetrack(), further).spawn().expect("the program"));
+        vm.node = Some(line.command(&valetrack(), extra_flags).spawn().expect("the program"));
     }
 
     pub fn kill_node(&mut self, at: usize) {
@@ -155,36 +156,39 @@
             wait_for("readiness", async || self.readiness(at).await == 200).await;
         }
         wait_for("all entries", async || self.entries() == self.vms.len()).await;
-        // Changes are gathered for some tenths of a second before they are read.
+        // Nodes batch changes for some tenths of a second before they read them.
         tokio::time::sleep(Duration::from_millis(1_200)).await;
     }
 
+    /// Returns how many nodes have an entry in the store.
     pub fn entries(&self) -> usize {
         self.store.keys("valetrack/node/").len()
     }
 
+    /// Returns the HTTP status of a node's readiness check, or 0 without an answer.
     pub async fn readiness(&self, at: usize) -> u16 {
-        let asked = Client::new(self.vms[at].ready_addr).call("GET", "/api/readiness", &[], "").await;
-        asked.map_or(0, |reply| reply.status)
+        let response = Client::new(self.vms[at].ready_addr).call("GET", "/api/readiness", &[], "").await;
+        response.map_or(0, |reply| reply.status)
     }
 
     pub async fn call(&self, at: usize, method: &str, path: &str, id: &str) -> Result<Reply, String> {
         call(self.vms[at].caller_addr, method, path, id).await
     }
 
-    /// Returns the service whose upstream answered a call that came at a VM.
+    /// Calls a VM's node; returns the service whose upstream answered.
     pub async fn served_by(&self, at: usize, path: &str) -> Option<&'static str> {
         let reply = self.call(at, "GET", path, "by").await.ok()?;
         let upstream: usize = reply.header("x-server-stamp").strip_prefix("i-")?.parse().ok()?;
         Some(self.vms[upstream].service)
     }
 
-    /// Returns the VM whose upstream answers a call that comes at a VM; none where it has no answer.
-    pub async fn answered_at(&self, at: usize, id: &str) -> Option<usize> {
+    /// Calls a VM's node; returns the VM whose upstream answered, or none without a success.
+    pub async fn answering_vm(&self, at: usize, id: &str) -> Option<usize> {
         let reply = self.call(at, "GET", "/sheet/", id).await.ok().filter(|reply| reply.status == 200)?;
         reply.header("x-server-stamp").strip_prefix("i-")?.parse().ok()
     }
 
+    /// Returns how many times a call ran, over all upstreams.
     pub fn runs(&self, id: &str) -> u64 {
         self.vms.iter().filter_map(|vm| vm.upstream.runs().get(id).copied()).sum()
     }
@@ -194,7 +198,7 @@
     fn drop(&mut self) {
         for vm in &mut self.vms {
             if let Some(mut node) = vm.node.take() {
-                // A node that ended by itself needs no kill.
+                // The kill fails for a node that has already exited.
                 let _ = node.kill();
                 let _ = node.wait();
             }
@@ -207,6 +211,7 @@
     Client::new(addr).call(method, path, &headers, format!("body of {id}")).await
 }
 
+/// Returns the HTTP status of a reply, or 0 without a reply.
 pub fn status(reply: &Result<Reply, String>) -> u16 {
     reply.as_ref().map_or(0, |reply| reply.status)
 }
--- a/standin/tests/common/mod.rs
+++ b/standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback; all are ended and waited for when it is dropped.
+//! A fleet of real processes on loopback. Dropping it kills all processes and waits for their end.
 
 #![allow(dead_code, reason = "each test binary uses its own part of the fleet")]
 
@@ -16,10 +16,10 @@
 use standin::client::{Client, Reply};
 use standin::relay::{self, Cuts};
 
-/// How long anything that should come is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a wait for a condition fails the test.
+const WAIT_MAX: Duration = Duration::from_secs(20);
 
-pub const SHOP: &str = r#"
+pub const INTAKE_BUNDLE: &str = r#"
 [measure]
 bytes_per_s = 2048
 probes_per_s = 5
@@ -36,7 +36,7 @@
 deadline_ms = 1500
 "#;
 
-/// One VM: its server, its node, and the relay before the node's links.
+/// One VM: its server, its node, and the relay through which other nodes reach the node's links.
 pub struct Vm {
     pub name: String,
     pub domain: String,
@@ -52,8 +52,8 @@
 }
 
 impl Vm {
-    /// Returns whether the node's process is alive.
-    pub fn node_runs(&mut self) -> bool {
+    /// Returns whether the node's process is running.
+    pub fn is_node_running(&mut self) -> bool {
         self.node.as_mut().is_some_and(|node| matches!(node.try_wait(), Ok(None)))
     }
 }
@@ -76,12 +76,11 @@
     standin().with_file_name("valetrack")
 }
 
-/// Returns an address that nobody uses: a loopback host of this test process's own, and a port
-/// that it has not given out yet.
+/// Returns an unused address: a loopback host that belongs to this test process, and a port that it
+/// has not returned before.
 ///
-/// Nothing is bound to find that out. A listener that is opened for a look lives on in every
-/// child that another thread is just starting, until that child's exec, and the program that is
-/// then given the address finds it in use.
+/// No listener is bound to find a free port. A child that another thread is forking inherits such a
+/// listener until its exec, and the program that is started on the address finds it in use.
 pub fn free_addr() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(10_000);
     let process = std::process::id();
@@ -91,8 +90,8 @@
 
 fn spawn(program: &Path, args: &[String], log: &Path) -> Child {
     let log = std::fs::File::options().create(true).append(true).open(log).expect("a log file");
-    let both = log.try_clone().expect("a second handle");
-    let child = Command::new(program).args(args).stdin(Stdio::null()).stdout(both).stderr(log).spawn();
+    let log_copy = log.try_clone().expect("a second handle");
+    let child = Command::new(program).args(args).stdin(Stdio::null()).stdout(log_copy).stderr(log).spawn();
     child.unwrap_or_else(|error| panic!("{}: {error}", program.display()))
 }
 
@@ -102,7 +101,7 @@
 }
 
 impl Fleet {
-    /// Starts the platform only.
+    /// Starts the platform without any VM.
     pub async fn start() -> Self {
         static COUNT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -129,21 +128,22 @@
         fleet
     }
 
-    /// Starts a platform, `count` VMs of one service over three domains, and rolls the bundle.
+    /// Starts a platform and `count` VMs of one service over three domains, and publishes the bundle.
     pub async fn with_intake(count: usize) -> Self {
         let mut fleet = Self::start().await;
-        fleet.grow("intake", count).await;
-        fleet.roll(SHOP);
+        fleet.add_vms("intake", count).await;
+        fleet.publish(INTAKE_BUNDLE);
         fleet.wait_ready().await;
         fleet
     }
 
-    pub async fn grow(&mut self, service: &str, count: usize) {
+    /// Adds VMs of a service, spread over three domains, and updates the platform's list.
+    pub async fn add_vms(&mut self, service: &str, count: usize) {
         for _ in 0..count {
             let at = self.vms.len();
             self.add_vm(&format!("{service}-{at}"), ["kranj", "loka", "radovljica"][at % 3], service).await;
         }
-        self.list(&[]).await;
+        self.put_list(&[]).await;
     }
 
     pub async fn add_vm(&mut self, name: &str, domain: &str, service: &str) {
@@ -173,7 +173,7 @@
         self.start_node(at);
     }
 
-    /// Starts the node of a VM, again if need be.
+    /// Starts or restarts the node of a VM.
     pub fn start_node(&mut self, at: usize) {
         let vm = &self.vms[at];
         let mut flags = vec![
@@ -197,7 +197,7 @@
         self.vms[at].node = Some(spawn(&valetrack(), &args(&["node"], &flags), &log));
     }
 
-    /// Runs a command of valetrack to its end.
+    /// Runs a valetrack command to its end; returns its output, or its error output where it failed.
     pub fn valetrack(&self, words: &[&str]) -> Result<String, String> {
         let output = Command::new(valetrack()).args(words).output().expect("valetrack");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().to_owned();
@@ -211,8 +211,8 @@
         file.to_string_lossy().into_owned()
     }
 
-    /// Writes, approves and rolls a bundle; returns its number.
-    pub fn roll(&self, text: &str) -> u64 {
+    /// Writes, approves and publishes a bundle; returns its number.
+    pub fn publish(&self, text: &str) -> u64 {
         let file = self.file("bundle.toml", text);
         let store = self.store_addr.to_string();
         let version =
@@ -223,8 +223,8 @@
         rolled["number"].as_u64().expect("a number")
     }
 
-    /// Writes the platform's list; the named VMs are shown as leaving.
-    pub async fn list(&self, leaving: &[&str]) {
+    /// Writes the platform's list of VMs, with the named ones marked as leaving.
+    pub async fn put_list(&self, leaving: &[&str]) {
         let row = |vm: &Vm| {
             json!({
                 "vm": vm.name, "domain": vm.domain, "service": vm.service,
@@ -236,12 +236,13 @@
         assert_eq!(put.expect("an answer").status, 200);
     }
 
-    pub async fn fault(&self, addr: SocketAddr, query: &str) {
+    /// Sets the faults of a stand-in; an empty query clears them.
+    pub async fn set_fault(&self, addr: SocketAddr, query: &str) {
         let fault = Client::new(addr).call("POST", &format!("/_fault?{query}"), &[], "").await;
         assert_eq!(fault.expect("an answer").status, 200);
     }
 
-    /// Gives the store a command of its own, as soon as it is there.
+    /// Sends a command to the store, as soon as the store is reachable.
     pub async fn store_command(&self, command: &str) {
         let path = format!("/{command}");
         let post = async || Client::new(self.store_addr).call("POST", &path, &[], "").await;
@@ -252,14 +253,14 @@
         for vm in &self.vms {
             wait_for("readiness", async || status(vm, "/ready").await == 200).await;
         }
-        // The view of every node must hold every VM, and pages must have their homes.
+        // Every node must list every VM as serving, and every page must have its home.
         for vm in &self.vms {
-            wait_for("members", async || self.sees_all(vm).await).await;
+            wait_for("members", async || self.lists_all_serving(vm).await).await;
         }
         tokio::time::sleep(Duration::from_millis(600)).await;
     }
 
-    async fn sees_all(&self, vm: &Vm) -> bool {
+    async fn lists_all_serving(&self, vm: &Vm) -> bool {
         let Ok(reply) = Client::new(vm.admin_addr).call("GET", "/status", &[], "").await else {
             return false;
         };
@@ -268,29 +269,30 @@
         members.iter().filter(|member| member["phase"] == "serving").count() >= self.vms.len()
     }
 
-    /// Returns how often each key ran, over all servers.
+    /// Returns how many times each key ran, over all servers.
     pub async fn runs(&self) -> BTreeMap<String, u64> {
         let mut runs = BTreeMap::new();
         for vm in &self.vms {
             let Ok(reply) = Client::new(vm.server_addr).call("GET", "/_runs", &[], "").await else {
                 continue;
             };
-            let one: BTreeMap<String, u64> = serde_json::from_slice(&reply.body).expect("json");
-            for (key, count) in one {
+            let server_runs: BTreeMap<String, u64> = serde_json::from_slice(&reply.body).expect("json");
+            for (key, count) in server_runs {
                 *runs.entry(key).or_insert(0) += count;
             }
         }
         runs
     }
 
-    /// Returns the sum of a metric over all its labels at one node.
+    /// Returns one node's value of a metric, summed over all labels.
     pub async fn metric(&self, at: usize, name: &str) -> f64 {
         let Ok(reply) = Client::new(self.vms[at].admin_addr).call("GET", "/metrics", &[], "").await else {
             return 0.0;
         };
         let text = String::from_utf8_lossy(&reply.body).into_owned();
-        let is = |line: &&str| line.starts_with(name) && matches!(line.as_bytes().get(name.len()), Some(b' ' | b'{'));
-        text.lines().filter(is).filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
+        let is_sample =
+            |line: &&str| line.starts_with(name) && matches!(line.as_bytes().get(name.len()), Some(b' ' | b'{'));
+        text.lines().filter(is_sample).filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
     }
 
     pub async fn bundle_number(&self, at: usize) -> u64 {
@@ -305,12 +307,12 @@
         send_signal(self.vms[at].node.as_ref(), signal);
     }
 
-    /// Waits for a node to end by itself; returns how long that took.
+    /// Waits until a node exits by itself; returns how long that took.
     pub async fn wait_end(&mut self, at: usize) -> Duration {
         let began = Instant::now();
         let mut node = self.vms[at].node.take().expect("a node");
         while node.try_wait().expect("its state").is_none() {
-            assert!(began.elapsed() < PATIENCE * 2, "the node does not end");
+            assert!(began.elapsed() < WAIT_MAX * 2, "the node has not exited");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         began.elapsed()
@@ -320,7 +322,8 @@
         std::fs::read_to_string(self.dir.join(format!("{}.log", self.vms[at].name))).unwrap_or_default()
     }
 
-    pub fn door(&self, at: usize) -> Client {
+    /// Returns a client of a node's caller listener.
+    pub fn client_at(&self, at: usize) -> Client {
         Client::new(self.vms[at].caller_addr)
     }
 }
@@ -336,22 +339,22 @@
             let _ = child.wait();
         }
         if std::thread::panicking() {
-            eprintln!("logs are kept in {}", self.dir.display());
+            eprintln!("the logs are in {}", self.dir.display());
         } else {
             let _ = std::fs::remove_dir_all(&self.dir);
         }
     }
 }
 
-/// Kills a node, if it runs, and waits for its end.
+/// Kills a node if it is running, and waits for its end.
 pub fn kill(node: Option<Child>) {
     if let Some(mut node) = node {
-        node.kill().expect("a live node");
+        node.kill().expect("a running node");
         node.wait().expect("its end");
     }
 }
 
-/// Sends a node a signal, if it runs.
+/// Sends a signal to a node if it is running.
 pub fn send_signal(node: Option<&Child>, signal: &str) {
     if let Some(node) = node {
         let sent = Command::new("kill").args([signal, &node.id().to_string()]).status();
@@ -359,27 +362,28 @@
     }
 }
 
+/// Returns the HTTP status of a path of a node's admin listener, or 0 without an answer.
 pub async fn status(vm: &Vm, path: &str) -> u16 {
     Client::new(vm.admin_addr).call("GET", path, &[], "").await.map_or(0, |reply| reply.status)
 }
 
-/// Waits until something holds.
-pub async fn wait_for(what: &str, holds: impl AsyncFn() -> bool) {
+/// Waits until a condition is met; panics after [`WAIT_MAX`].
+pub async fn wait_for(condition: &str, is_met: impl AsyncFn() -> bool) {
     let began = Instant::now();
-    while !holds().await {
-        assert!(began.elapsed() < PATIENCE, "waited too long for {what}");
+    while !is_met().await {
+        assert!(began.elapsed() < WAIT_MAX, "timed out waiting for {condition}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Presses once with a key.
-pub async fn press(door: &Client, key: &str) -> Result<Reply, String> {
+/// Submits a keyed call once.
+pub async fn submit(client: &Client, key: &str) -> Result<Reply, String> {
     let headers = [("valetrack-service", "intake"), ("idempotency-key", key)];
-    door.call("POST", "/pickups", &headers, key.to_owned()).await
+    client.call("POST", "/pickups", &headers, key.to_owned()).await
 }
 
-/// Returns what a caller was told: the outcome, or that no answer came.
-pub fn told(reply: &Result<Reply, String>) -> String {
+/// Returns the outcome that a caller received, or that no answer came.
+pub fn outcome_of(reply: &Result<Reply, String>) -> String {
     match reply {
         Ok(reply) => reply.header("valetrack-outcome").to_owned(),
         Err(_) => "no answer".into(),
--- a/standin/tests/evacuation.rs
+++ b/standin/tests/evacuation.rs
@@ -26,7 +26,7 @@
     let in_row = Cell::new(0);
     wait_for("answers of one upstream alone", async || {
         for at in 0..fleet.vms.len() {
-            let right = fleet.answered_at(at, "settled").await == Some(wanted);
+            let right = fleet.answering_vm(at, "settled").await == Some(wanted);
             in_row.set(if right { in_row.get() + 1 } else { 0 });
         }
         in_row.get() >= 10
@@ -44,7 +44,7 @@
     let before = arrivals(&fleet, 0);
     for number in 0..40 {
         let id = format!("away-{number}");
-        assert_eq!(fleet.answered_at(number % 4, &id).await, Some(1), "{id}");
+        assert_eq!(fleet.answering_vm(number % 4, &id).await, Some(1), "{id}");
     }
     assert_eq!(arrivals(&fleet, 0), before);
     fleet.store.revoke(KRANJ);
@@ -91,7 +91,7 @@
     let before = arrivals(&fleet, 0);
     for number in 0..30 {
         let id = format!("born-away-{number}");
-        let _ = fleet.answered_at(number % 3, &id).await;
+        let _ = fleet.answering_vm(number % 3, &id).await;
     }
     assert_eq!(arrivals(&fleet, 0), before);
 }
@@ -122,7 +122,7 @@
         let before = arrivals(&fleet, 0);
         for number in 0..24 {
             let id = format!("turned-away-{refused}-{number}");
-            assert_eq!(fleet.answered_at(number % 3, &id).await, Some(1), "{id}");
+            assert_eq!(fleet.answering_vm(number % 3, &id).await, Some(1), "{id}");
         }
         assert_eq!(arrivals(&fleet, 0), before);
         fleet.vms[refused].store_access.set(Mode::Up);
@@ -148,7 +148,7 @@
     let settled = async || {
         let before = runs_at(&fleet, &evacuated).await;
         for number in 0..24 {
-            let reply = fleet.door(number % 4).call("GET", "/", &[("valetrack-service", "intake")], "x").await;
+            let reply = fleet.client_at(number % 4).call("GET", "/", &[("valetrack-service", "intake")], "x").await;
             assert!(reply.is_ok_and(|reply| reply.status == 200));
         }
         runs_at(&fleet, &evacuated).await == before
--- a/standin/tests/managed.rs
+++ b/standin/tests/managed.rs
@@ -75,7 +75,7 @@
 
 #[tokio::test]
 async fn the_only_upstream_of_a_service_is_used_on_while_its_node_lingers() {
-    let fleet = Fleet::start_lingering(&["rounds", "ledger"], 2_500).await;
+    let fleet = Fleet::start_with_linger(&["rounds", "ledger"], 2_500).await;
     fleet.signal(0, "-TERM");
     wait_for("no readiness", async || fleet.readiness(0).await == 503).await;
     let began = std::time::Instant::now();
--- a/standin/tests/planned_change.rs
+++ b/standin/tests/planned_change.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::{Fleet, SHOP, press, told, wait_for};
+use common::{Fleet, INTAKE_BUNDLE, outcome_of, submit, wait_for};
 use standin::client::Client;
 use test_case::test_case;
 use tokio::time::sleep;
@@ -25,7 +25,7 @@
         calls.spawn(async move {
             let door = &doors[number % doors.len()];
             let reply = if keyed || number.is_multiple_of(3) {
-                press(door, &format!("planned-{number}")).await
+                submit(door, &format!("planned-{number}")).await
             } else {
                 door.call("GET", "/", &[("valetrack-service", "intake")], "x").await
             };
@@ -86,15 +86,15 @@
 async fn a_planned_stop_cuts_nothing(say: Say) {
     let mut fleet = Fleet::with_intake(4).await;
     // Callers use the doors that stay; the door of the leaving node is tried apart.
-    let doors: Vec<Client> = (0..3).map(|at| fleet.door(at)).collect();
+    let doors: Vec<Client> = (0..3).map(|at| fleet.client_at(at)).collect();
     let stop = Arc::new(AtomicBool::new(false));
     let load = tokio::spawn(callers(doors, false, stop.clone()));
     sleep(Duration::from_millis(700)).await;
     assert!(runs_at(&fleet, 3).await > 0, "the server must have had work");
     match say {
         Say::Signal => fleet.signal(3, "-TERM"),
-        Say::Server => fleet.fault(fleet.vms[3].server_addr, "leaving=1").await,
-        Say::List => fleet.list(&["intake-3"]).await,
+        Say::Server => fleet.set_fault(fleet.vms[3].server_addr, "leaving=1").await,
+        Say::List => fleet.put_list(&["intake-3"]).await,
     }
     sleep(Duration::from_secs(2)).await;
     let settled = runs_at(&fleet, 3).await;
@@ -113,9 +113,9 @@
 async fn the_door_of_a_leaving_node_answers_until_its_callers_are_gone() {
     let mut fleet = Fleet::with_intake(3).await;
     for vm in &fleet.vms {
-        fleet.fault(vm.server_addr, "slow_us=400000").await;
+        fleet.set_fault(vm.server_addr, "slow_us=400000").await;
     }
-    let door = fleet.door(0);
+    let door = fleet.client_at(0);
     let call =
         async { door.call("GET", "/", &[("valetrack-service", "intake")], "in flight").await.expect("a whole answer") };
     let leave = async {
@@ -132,31 +132,31 @@
 async fn a_leaving_node_that_nobody_hears_refuses_new_work_itself() {
     let mut fleet = Fleet::start().await;
     fleet.server_flags.push(("slots", "64"));
-    fleet.grow("intake", 1).await;
-    fleet.grow("prizes", 1).await;
-    fleet.roll(&format!("{}\n[[service]]\nname = \"prizes\"\n", SHOP.replace("slots = 6", "slots = 64")));
+    fleet.add_vms("intake", 1).await;
+    fleet.add_vms("prizes", 1).await;
+    fleet.publish(&format!("{}\n[[service]]\nname = \"prizes\"\n", INTAKE_BUNDLE.replace("slots = 6", "slots = 64")));
     fleet.wait_ready().await;
     // Calls of the other door reach the leaving node, but no word of it reaches that door.
     fleet.vms[1].cuts.set(true, true);
-    fleet.fault(fleet.vms[0].server_addr, "slow_us=1300000").await;
-    let door = fleet.door(0);
+    fleet.set_fault(fleet.vms[0].server_addr, "slow_us=1300000").await;
+    let door = fleet.client_at(0);
     let held = tokio::spawn(async move { door.call("GET", "/", &[("valetrack-service", "intake")], "held").await });
     sleep(Duration::from_millis(100)).await;
     fleet.signal(0, "-TERM");
-    first_refusal(fleet.door(1)).await;
+    first_refusal(fleet.client_at(1)).await;
     let stop = Arc::new(AtomicBool::new(false));
-    let load = tokio::spawn(callers(vec![fleet.door(1)], false, stop.clone()));
+    let load = tokio::spawn(callers(vec![fleet.client_at(1)], false, stop.clone()));
     sleep(Duration::from_millis(300)).await;
     let settled = runs_at(&fleet, 0).await;
     sleep(Duration::from_millis(700)).await;
     assert_eq!(runs_at(&fleet, 0).await, settled, "new work after the word");
-    assert!(fleet.vms[0].node_runs(), "the call in flight must keep the node");
+    assert!(fleet.vms[0].is_node_running(), "the call in flight must keep the node");
     stop.store(true, Ordering::Relaxed);
     let words = load.await.expect("callers");
     // The first call is given back, and its bounce tells the door; keys cannot be told "not run".
     let refused = |word: &String| ["503 VT308", "503 VT302", "502 VT403"].contains(&word.as_str());
     assert!(words.keys().all(refused), "{words:?}");
-    assert_eq!(told(&held.await.expect("a call")), "ran");
+    assert_eq!(outcome_of(&held.await.expect("a call")), "ran");
     fleet.wait_end(0).await;
 }
 
@@ -164,7 +164,7 @@
 #[tokio::test]
 async fn a_list_that_lags_brings_no_work_back(query: &str) {
     let mut fleet = Fleet::with_intake(4).await;
-    fleet.fault(fleet.list_addr, query).await;
+    fleet.set_fault(fleet.list_addr, query).await;
     fleet.signal(3, "-TERM");
     fleet.wait_end(3).await;
     fleet.kill_node(2);
@@ -172,15 +172,15 @@
     let settled = runs_at(&fleet, 3).await;
     let mut words = Words::new();
     for number in 0..200 {
-        let reply = fleet.door(number % 2).call("GET", "/", &[("valetrack-service", "intake")], "x").await;
-        *words.entry(told(&reply)).or_default() += 1;
+        let reply = fleet.client_at(number % 2).call("GET", "/", &[("valetrack-service", "intake")], "x").await;
+        *words.entry(outcome_of(&reply)).or_default() += 1;
     }
     assert_eq!(runs_at(&fleet, 3).await, settled);
     assert_eq!(words, Words::from([("ran".to_owned(), 200)]));
 }
 
 fn bundle(deadline_ms: u32) -> String {
-    SHOP.replace("deadline_ms = 1500", &format!("deadline_ms = {deadline_ms}"))
+    INTAKE_BUNDLE.replace("deadline_ms = 1500", &format!("deadline_ms = {deadline_ms}"))
 }
 
 async fn wait_bundle(fleet: &Fleet, number: u64) {
@@ -193,7 +193,7 @@
 async fn a_rolled_bundle_is_in_force_everywhere_also_when_the_store_goes_down() {
     let mut fleet = Fleet::with_intake(16).await;
     let began = Instant::now();
-    let number = fleet.roll(&bundle(1_400));
+    let number = fleet.publish(&bundle(1_400));
     let rolled = began.elapsed();
     wait_bundle(&fleet, number).await;
     println!(
@@ -201,7 +201,7 @@
         began.elapsed()
     );
 
-    let number = fleet.roll(&bundle(1_300));
+    let number = fleet.publish(&bundle(1_300));
     let began = Instant::now();
     // The text may be read by the first watcher only; the others must get it from each other.
     wait_for("one node", async || {
@@ -213,7 +213,7 @@
         false
     })
     .await;
-    fleet.fault(fleet.store_addr, "down=1").await;
+    fleet.set_fault(fleet.store_addr, "down=1").await;
     wait_bundle(&fleet, number).await;
     println!("16 nodes, store down right after the first node had it: {:?}", began.elapsed());
 
@@ -221,7 +221,7 @@
     fleet.kill_node(5);
     fleet.start_node(5);
     wait_for("the cold node", async || fleet.bundle_number(5).await >= number).await;
-    fleet.fault(fleet.store_addr, "").await;
+    fleet.set_fault(fleet.store_addr, "").await;
     for at in 0..16 {
         assert_eq!(fleet.bundle_number(at).await, number, "nobody goes back");
     }
@@ -270,7 +270,7 @@
 async fn measuring_and_the_store_stay_within_their_budgets() {
     let fleet = Fleet::with_intake(4).await;
     let stop = Arc::new(AtomicBool::new(false));
-    let doors: Vec<Client> = (0..4).map(|at| fleet.door(at)).collect();
+    let doors: Vec<Client> = (0..4).map(|at| fleet.client_at(at)).collect();
     let before = store_counts(&fleet).await;
     let mut spent = [0.0; 4];
     for (at, spent) in spent.iter_mut().enumerate() {
--- a/standin/tests/roll_rollback.rs
+++ b/standin/tests/roll_rollback.rs
@@ -20,7 +20,7 @@
 
 /// Returns a bundle that differs from all others.
 fn bundle(slots: usize) -> String {
-    common::SHOP.replace("slots = 6", &format!("slots = {slots}"))
+    common::INTAKE_BUNDLE.replace("slots = 6", &format!("slots = {slots}"))
 }
 
 async fn status(fleet: &Fleet, at: usize) -> Value {
@@ -55,7 +55,7 @@
 async fn fleet_beyond_its_copy() -> (Fleet, String) {
     let fleet = Fleet::with_intake(VMS).await;
     fleet.store_command("_copy").await;
-    assert_eq!(fleet.roll(&bundle(7)), 2);
+    assert_eq!(fleet.publish(&bundle(7)), 2);
     for at in 0..VMS {
         wait_for("number 2", async || fleet.bundle_number(at).await == 2).await;
     }
@@ -77,7 +77,7 @@
     let (fleet, _) = fleet_beyond_its_copy().await;
     come_back(&fleet, how).await;
     sleep(Duration::from_millis(after_ms)).await;
-    fleet.roll(&bundle(9));
+    fleet.publish(&bundle(9));
     let version = version_of(&bundle(9));
     all_serve(&fleet, &version).await;
     for at in 0..VMS {
@@ -113,7 +113,7 @@
     come_back(&fleet, "").await;
     (0..VMS).for_each(|at| fleet.start_node(at));
     fleet.wait_ready().await;
-    fleet.roll(&bundle(9));
+    fleet.publish(&bundle(9));
     all_serve(&fleet, &version_of(&bundle(9))).await;
 }
 
--- a/standin/tests/store_rollback.rs
+++ b/standin/tests/store_rollback.rs
@@ -263,7 +263,7 @@
     wait_for("an evacuated domain", async || {
         let mut elsewhere = true;
         for at in 0..3 {
-            elsewhere &= fleet.answered_at(at, "evacuated").await == Some(1);
+            elsewhere &= fleet.answering_vm(at, "evacuated").await == Some(1);
         }
         elsewhere
     })
@@ -274,14 +274,19 @@
     let mut asked = 0;
     while back.elapsed() < Duration::from_millis(3_000) {
         asked += 1;
-        assert_eq!(fleet.answered_at(asked % 3, &format!("held-{asked}")).await, Some(1), "after {:?}", back.elapsed());
+        assert_eq!(
+            fleet.answering_vm(asked % 3, &format!("held-{asked}")).await,
+            Some(1),
+            "after {:?}",
+            back.elapsed()
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     fleet.store.put(kranj, "{}");
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     fleet.store.revoke(kranj);
     wait_for("work after the return", async || {
-        let calls = (0..12).map(|_| fleet.answered_at(1, "return"));
+        let calls = (0..12).map(|_| fleet.answering_vm(1, "return"));
         futures::future::join_all(calls).await.contains(&Some(0))
     })
     .await;
--- a/standin/tests/whole_path.rs
+++ b/standin/tests/whole_path.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Fleet, press, told, wait_for};
+use common::{Fleet, outcome_of, submit, wait_for};
 use standin::client::Client;
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,15 +15,15 @@
 async fn every_door_serves_reads_and_writes() {
     let fleet = Fleet::with_intake(3).await;
     for at in 0..3 {
-        let door = fleet.door(at);
+        let door = fleet.client_at(at);
         for number in 0..20 {
             let body = format!("door-{at}-{number}");
             let read = door.call("GET", "/sheet", &[("valetrack-service", "intake")], body.clone()).await;
             let read = read.expect("an answer");
             assert_eq!((read.status, read.header("valetrack-outcome")), (200, "ran"));
             assert_eq!(read.body, body.as_bytes());
-            let written = press(&door, &body).await;
-            assert_eq!(told(&written), "ran");
+            let written = submit(&door, &body).await;
+            assert_eq!(outcome_of(&written), "ran");
             assert_eq!(written.expect("an answer").body, body.as_bytes());
         }
     }
@@ -36,7 +36,7 @@
 async fn the_time_line_tells_a_call_through_all_processes() {
     let fleet = Fleet::with_intake(3).await;
     let headers = [("valetrack-service", "intake"), ("idempotency-key", "k"), ("valetrack-call", "told")];
-    fleet.door(0).call("POST", "/pickups", &headers, "x").await.expect("an answer");
+    fleet.client_at(0).call("POST", "/pickups", &headers, "x").await.expect("an answer");
     let mut words = vec!["timeline".to_owned(), "--call".into(), "told".into()];
     for vm in &fleet.vms {
         words.extend(["--admin".to_owned(), vm.admin_addr.to_string()]);
@@ -59,8 +59,8 @@
 async fn bad_input_at_a_door_harms_nobody_else(bytes: &[u8]) {
     let mut fleet = Fleet::start().await;
     fleet.node_flags.push(("call-body-ms", "300"));
-    fleet.grow("intake", 2).await;
-    fleet.roll(common::SHOP);
+    fleet.add_vms("intake", 2).await;
+    fleet.publish(common::INTAKE_BUNDLE);
     fleet.wait_ready().await;
     for _ in 0..20 {
         let mut stream = TcpStream::connect(fleet.vms[0].caller_addr).await.expect("a connection");
@@ -73,8 +73,8 @@
             assert!(text.contains("VT2"), "neither closed nor answered: {text:?}");
         }
         drop(stream);
-        let good = fleet.door(0).call("GET", "/", &[("valetrack-service", "intake")], "x").await;
-        assert_eq!(told(&good), "ran");
+        let good = fleet.client_at(0).call("GET", "/", &[("valetrack-service", "intake")], "x").await;
+        assert_eq!(outcome_of(&good), "ran");
     }
     wait_for("the count of bad calls", async || fleet.metric(0, "valetrack_bad_calls_total").await >= 20.0).await;
 }
@@ -93,7 +93,7 @@
         let _ = stream.write_all(&[0xff; 100]).await;
     }
     for at in 0..2 {
-        assert_eq!(told(&press(&fleet.door(at), &format!("after-{at}")).await), "ran");
+        assert_eq!(outcome_of(&submit(&fleet.client_at(at), &format!("after-{at}")).await), "ran");
     }
     assert_eq!(common::status(&fleet.vms[0], "/health").await, 200);
     let post = Client::new(fleet.vms[0].admin_addr).call("POST", "/status", &[], "").await;
@@ -112,5 +112,5 @@
     let body = Client::new(fleet.vms[0].admin_addr).call("GET", "/status", &[], "").await.expect("an answer").body;
     assert!(!String::from_utf8_lossy(&body).contains("stranger"));
     wait_for("a counted refusal", async || fleet.metric(0, "valetrack_bad_frames_total").await >= 1.0).await;
-    assert_eq!(told(&press(&fleet.door(0), "k").await), "ran");
+    assert_eq!(outcome_of(&submit(&fleet.client_at(0), "k").await), "ran");
 }
