--- a/standin/tests/managed.rs
+++ b/standin/tests/managed.rs
@@ -1,5 +1,5 @@
-//! Real nodes on the stand-in of the managed platform: the whole path, drains, outages of the
-//! store, and upstreams that break the rules.
+//! Real nodes on the stand-in of the managed platform: the path of a call, drains, outages of the store, and upstreams
+//! that violate the protocol.
 
 mod common;
 
@@ -13,36 +13,40 @@
 use test_case::test_case;
 
 #[tokio::test]
-async fn a_call_reaches_an_upstream_of_its_route_and_comes_back_whole() {
+async fn call_is_routed_and_its_reply_returned_complete() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     let reply = fleet.call(1, "POST", "/sheet/today?farm=7", "a-1").await.expect("an answer");
     assert_eq!((reply.status, &reply.body[..]), (200, b"body of a-1".as_slice()));
     assert_eq!((reply.header("x-server-stamp"), reply.header("x-request-id")), ("i-0", "a-1"));
     let seen = fleet.vms[0].upstream.seen();
-    assert_eq!(seen["x-caller-service"], "ledger", "the node names the service on whose VM the call began");
+    assert_eq!(seen["x-caller-service"], "ledger", "the node sends the service of the VM at which the call came in");
     assert_eq!(seen["x-expected-instance"], "i-0");
     assert!(seen["x-deadline-milliseconds"].parse::<u64>().expect("a number") <= 1_500);
     let reply = fleet.call(0, "GET", "/nowhere/", "a-2").await.expect("an answer");
-    assert_eq!((reply.status, reply.header("x-request-id")), (404, "a-2"), "a rejection names its call as well");
+    assert_eq!(
+        (reply.status, reply.header("x-request-id")),
+        (404, "a-2"),
+        "a rejection has the request id of its call"
+    );
 }
 
 #[test_case(Spoil::OtherId; "an answer to another request")]
 #[test_case(Spoil::Encoded; "an encoded body")]
 #[test_case(Spoil::NoStamp; "a success without a stamp")]
 #[test_case(Spoil::Close; "a connection that closes")]
-fn a_spoilt_answer_is_no_answer_and_runs_once(spoil: Spoil) {
+fn invalid_upstream_answer_yields_502_and_one_run(spoil: Spoil) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async move {
         let fleet = Fleet::start(&["ledger", "ledger"]).await;
         fleet.vms.iter().for_each(|vm| vm.upstream.set_spoil(spoil));
         let reply = fleet.call(0, "POST", "/pickup/1", "b-1").await.expect("an answer");
-        assert_eq!((reply.status, reply.header("x-server-stamp")), (502, ""), "nothing may say that it did not run");
+        assert_eq!((reply.status, reply.header("x-server-stamp")), (502, ""), "the answer must not deny the run");
         assert_eq!(fleet.runs("b-1"), 1);
     });
 }
 
 #[tokio::test]
-async fn a_draining_upstream_gets_nothing_new_and_its_node_serves_on() {
+async fn draining_upstream_gets_no_calls_while_its_node_serves() {
     let fleet = Fleet::start(&["rounds", "rounds"]).await;
     fleet.vms[0].upstream.drain();
     let acknowledged = fleet.vms[0].upstream.acknowledged();
@@ -55,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_stop_withdraws_readiness_at_once_and_cuts_nothing() {
+async fn stop_withdraws_readiness_and_finishes_running_calls() {
     let fleet = Fleet::start(&["rounds", "rounds"]).await;
     fleet.vms.iter().for_each(|vm| vm.upstream.set_work_ms(400));
     let addr = fleet.vms[0].caller_addr;
@@ -65,7 +69,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.signal(0, "-TERM");
     wait_for("no readiness", async || fleet.readiness(0).await == 503).await;
-    // Callers learn of it later, and are served until then.
+    // Callers see the lost readiness later, and are served until then.
     assert_eq!(status(&fleet.call(0, "GET", "/sheet/", "d-late").await), 200);
     for call in running {
         assert_eq!(status(&call.await.expect("a result")), 200);
@@ -74,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn the_only_upstream_of_a_service_is_used_on_while_its_node_lingers() {
+async fn only_upstream_stays_in_use_while_its_node_drains() {
     let fleet = Fleet::start_with_linger(&["rounds", "ledger"], 2_500).await;
     fleet.signal(0, "-TERM");
     wait_for("no readiness", async || fleet.readiness(0).await == 503).await;
@@ -88,11 +92,11 @@
 }
 
 #[tokio::test]
-async fn an_outage_of_the_store_is_not_noticed_by_callers_and_entries_come_back() {
+async fn store_outage_fails_no_calls_and_entries_are_rewritten() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     for mode in [Mode::Refusing, Mode::Silent] {
         fleet.store.set_mode(mode);
-        // Longer than the leases hold.
+        // Leases lapse within this time.
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         assert_eq!(fleet.entries(), 0, "{mode:?}");
         assert_eq!(status(&fleet.call(1, "GET", "/sheet/", &format!("e-{mode:?}")).await), 200);
@@ -104,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn entries_that_are_taken_away_or_lapse_are_written_anew() {
+async fn removed_or_lapsed_entries_are_written_again() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.store.revoke("valetrack/");
     wait_for("the entries", async || fleet.entries() == 2).await;
@@ -114,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_is_in_force_after_lost_history_and_lost_answers() {
+async fn configuration_is_in_force_after_lost_history_and_answers() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.store.set_mode(Mode::LosingAnswers);
     tokio::time::sleep(Duration::from_millis(1_200)).await;
@@ -126,7 +130,7 @@
         reply.is_ok_and(|reply| reply.header("x-server-stamp") == "i-1")
     })
     .await;
-    // An older or unreadable one changes nothing.
+    // An older or invalid configuration changes nothing.
     fleet.store.put("op/config", &config(4, "rounds"));
     fleet.store.put("op/config", "{\"version\":9,\"routes\":7}");
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -135,8 +139,8 @@
 }
 
 #[tokio::test]
-async fn a_configuration_is_in_force_whichever_node_stands_still() {
-    // Every other VM is of one failure domain, where all but one follow a relay.
+async fn configuration_is_in_force_while_any_node_is_suspended() {
+    // Every other VM is in the same failure domain, where all nodes but one follow a relay.
     let fleet = Fleet::start(&["rounds", "ledger", "rounds", "ledger", "rounds", "ledger"]).await;
     for (version, stopped) in [(5, 0), (6, 2), (7, 4)] {
         fleet.signal(stopped, "-STOP");
@@ -151,63 +155,63 @@
 }
 
 #[tokio::test]
-async fn a_fleet_at_rest_asks_the_store_little() {
+async fn idle_fleet_requests_few_changes_from_store() {
     let fleet = Fleet::start(&["rounds", "ledger", "rounds", "ledger", "rounds", "ledger", "rounds", "ledger"]).await;
-    // The nodes that start choose their relays meanwhile.
+    // The started nodes choose their relays meanwhile.
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     let before = fleet.store.changes_asked();
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    let asked = fleet.store.changes_asked() - before;
-    // Two failure domains with a relay each, which asks every 0.7 s; nobody else waits at the store.
-    assert!((1..=12).contains(&asked), "{asked} calls for changes in 3 s");
+    let requests = fleet.store.changes_asked() - before;
+    // Two failure domains with a relay each, which requests changes every 0.7 s. No other node does so.
+    assert!((1..=12).contains(&requests), "{requests} calls for changes in 3 s");
 }
 
-/// Nodes of the fleet whose start is counted; its entries fill three pages of the store.
-const STARTED: usize = 10;
-/// Calls that a node makes to the store until all serve and three seconds more: 4.6 on an idle machine,
-/// and 6.2 where each follows the store closely until it has found its relay.
-const START_PRICE_MAX: f64 = 5.5;
-/// Calls that a node makes to the store over an outage of 1.5 s and the 3 s after it, the relays' calls
-/// included: 7.6 to 7.9 on an idle machine, and 10.6 where each node reads the whole store after it.
-const OUTAGE_PRICE_MAX: f64 = 9.0;
+/// Nodes of the fleet whose calls to the store are counted. Its entries fill three pages of the store.
+const FLEET_SIZE: usize = 10;
+/// Most calls per node to the store from the fleet's start until three seconds after all nodes serve. An idle machine
+/// has 4.6, and 6.2 where each node follows the store closely until it has found its relay.
+const START_CALLS_MAX: f64 = 5.5;
+/// Most calls per node to the store over an outage of 1.5 s and the 3 s after it, the relays' calls included. An idle
+/// machine has 7.6 to 7.9, and 10.6 where each node reads the whole store after the outage.
+const OUTAGE_CALLS_MAX: f64 = 9.0;
 
-/// Starts a fleet of [`STARTED`] nodes, and waits until all have their entries.
+/// Starts a fleet of [`FLEET_SIZE`] nodes, and waits until all have their entries.
 async fn started_fleet() -> Fleet {
-    let services: Vec<&'static str> = (0..STARTED).map(|at| if at % 2 == 0 { "rounds" } else { "ledger" }).collect();
+    let services: Vec<&'static str> = (0..FLEET_SIZE).map(|at| if at % 2 == 0 { "rounds" } else { "ledger" }).collect();
     let fleet = Fleet::start(&services).await;
-    wait_for("all entries", async || fleet.entries() == STARTED).await;
+    wait_for("all entries", async || fleet.entries() == FLEET_SIZE).await;
     fleet
 }
 
 #[tokio::test]
-async fn a_fleet_that_starts_asks_the_store_little() {
+async fn starting_fleet_stays_within_store_call_limit() {
     let fleet = started_fleet().await;
-    // Whoever followed the store itself meanwhile has found a relay by then.
+    // Nodes that followed the store themselves have found a relay by then.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    let each = fleet.store.price() / STARTED as f64;
-    // A lease and a write each, a few cheap reads, and the two relays' calls over the whole time.
-    assert!(each <= START_PRICE_MAX, "{each} calls a node");
-    // A state from before a node wrote its entry does not have it written again.
-    let writes = metric(&fleet, "valetrack_store_calls_total", ("kind", "write")).await;
-    assert!(writes <= STARTED as f64 + 1.0, "{writes} writes of {STARTED} entries");
+    let each = fleet.store.price() / FLEET_SIZE as f64;
+    // A lease, a write and a few inexpensive reads per node, and the two relays' calls over the whole time.
+    assert!(each <= START_CALLS_MAX, "{each} calls a node");
+    // A node that reads a state from before its own write must not write its entry again.
+    let writes = metric_sum(&fleet, "valetrack_store_calls_total", ("kind", "write")).await;
+    assert!(writes <= FLEET_SIZE as f64 + 1.0, "{writes} writes of {FLEET_SIZE} entries");
 }
 
-/// Nodes of a fleet with more followers than one transaction takes.
-const MANY: usize = 24;
+/// Nodes of a fleet with more followers per relay than one transaction holds.
+const LARGE_FLEET_SIZE: usize = 24;
 
 #[tokio::test]
-async fn a_relay_keeps_the_entries_of_more_followers_than_one_transaction_takes() {
-    let fleet = Fleet::start(&["rounds"; MANY]).await;
+async fn relay_keeps_entries_beyond_one_transaction() {
+    let fleet = Fleet::start(&["rounds"; LARGE_FLEET_SIZE]).await;
     fleet.store.lapse();
-    wait_for("all entries", async || fleet.entries() == MANY).await;
+    wait_for("all entries", async || fleet.entries() == LARGE_FLEET_SIZE).await;
     tokio::time::sleep(Duration::from_millis(2_000)).await;
-    assert_eq!(fleet.entries(), MANY);
-    let failed = metric(&fleet, "valetrack_store_failures_total", ("code", "VT606")).await;
-    assert_eq!(failed, 0.0, "the store has turned calls away");
+    assert_eq!(fleet.entries(), LARGE_FLEET_SIZE);
+    let failed = metric_sum(&fleet, "valetrack_store_failures_total", ("code", "VT606")).await;
+    assert_eq!(failed, 0.0, "the store has refused calls");
 }
 
 #[tokio::test]
-async fn a_fleet_asks_the_store_little_after_an_outage_that_lost_its_history() {
+async fn fleet_stays_within_store_call_limit_after_lost_history() {
     let fleet = started_fleet().await;
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     let before = fleet.store.price();
@@ -215,37 +219,37 @@
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     fleet.store.compact();
     fleet.store.set_mode(Mode::Up);
-    wait_for("all entries", async || fleet.entries() == STARTED).await;
+    wait_for("all entries", async || fleet.entries() == FLEET_SIZE).await;
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    let each = (fleet.store.price() - before) / STARTED as f64;
-    assert!(each <= OUTAGE_PRICE_MAX, "{each} calls a node");
+    let each = (fleet.store.price() - before) / FLEET_SIZE as f64;
+    assert!(each <= OUTAGE_CALLS_MAX, "{each} calls a node");
     fleet.store.put("op/config", &config(9, "ledger"));
-    for at in 0..STARTED {
+    for at in 0..FLEET_SIZE {
         wait_for("the new route", async || fleet.served_by(at, "/sheet/").await == Some("ledger")).await;
     }
 }
 
 #[tokio::test]
-async fn a_node_that_starts_again_during_an_outage_learns_from_its_peers() {
+async fn node_restarted_in_store_outage_learns_from_peers() {
     let mut fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.store.set_mode(Mode::Refusing);
     fleet.kill_node(0);
     fleet.start_node(0);
     wait_for("an answer", async || fleet.readiness(0).await != 0).await;
     assert_eq!(fleet.readiness(0).await, 503);
-    assert_eq!(status(&fleet.call(0, "GET", "/pickup/", "h-0").await), 503, "it knows no configuration");
-    // Whoever calls it shows that it lives, and is shown that it lacks the bundle.
+    assert_eq!(status(&fleet.call(0, "GET", "/pickup/", "h-0").await), 503, "the node has no configuration yet");
+    // A peer that calls the node shows that it is up, learns that the node lacks the bundle, and sends it.
     wait_for("readiness", async || {
         let _ = fleet.call(1, "GET", "/sheet/", "h-1").await;
         fleet.readiness(0).await == 200
     })
     .await;
     wait_for("a served call", async || status(&fleet.call(1, "GET", "/sheet/", "h-2").await) == 200).await;
-    assert_eq!(status(&fleet.call(0, "GET", "/pickup/", "h-3").await), 200, "it has learnt its peers as well");
+    assert_eq!(status(&fleet.call(0, "GET", "/pickup/", "h-3").await), 200, "the node has received its peers as well");
 }
 
 #[tokio::test]
-async fn a_node_that_starts_again_is_reached_over_a_new_link_at_once() {
+async fn restarted_node_is_reached_over_new_link() {
     let mut fleet = Fleet::start(&["rounds", "ledger"]).await;
     assert_eq!(status(&fleet.call(1, "GET", "/sheet/", "l-0").await), 200);
     fleet.kill_node(0);
@@ -257,7 +261,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_starts_again_never_says_that_its_earlier_life_ran_nothing() {
+async fn restarted_node_never_denies_runs_of_earlier_incarnation() {
     let mut fleet = Fleet::start(&["ledger", "rounds", "ledger"]).await;
     fleet.vms.iter().for_each(|vm| vm.upstream.set_work_ms(1_200));
     let addr = fleet.vms[1].caller_addr;
@@ -265,21 +269,25 @@
         .map(|number| tokio::spawn(async move { call(addr, "POST", "/pickup/", &format!("o-{number}")).await }))
         .collect();
     tokio::time::sleep(Duration::from_millis(200)).await;
-    // The upstreams run on while their nodes are replaced.
+    // The upstreams keep running while their nodes are restarted.
     for at in [0, 2] {
         fleet.kill_node(at);
         fleet.start_node(at);
     }
     for (number, call) in calls.into_iter().enumerate() {
-        let told = status(&call.await.expect("a result"));
+        let reply_status = status(&call.await.expect("a result"));
         let id = format!("o-{number}");
-        assert!(told != 503 || fleet.runs(&id) == 0, "{id} was told not to have run and ran {}", fleet.runs(&id));
+        assert!(
+            reply_status != 503 || fleet.runs(&id) == 0,
+            "{id} was answered as not run and ran {}",
+            fleet.runs(&id)
+        );
         assert!(fleet.runs(&id) <= 1, "{id} ran {} times", fleet.runs(&id));
     }
 }
 
 #[tokio::test]
-async fn a_node_that_stands_still_is_left_out() {
+async fn suspended_node_is_left_out_without_lost_calls() {
     let fleet = Fleet::start(&["rounds", "ledger", "rounds"]).await;
     for warm in 0..6 {
         assert_eq!(status(&fleet.call(1, "GET", "/sheet/", &format!("m-{warm}")).await), 200);
@@ -295,13 +303,13 @@
         served_in_row = if served { served_in_row + 1 } else { 0 };
         lost += u32::from(!served);
     }
-    assert_eq!(lost, 0, "work that may repeat goes to another upstream in time");
+    assert_eq!(lost, 0, "a repeatable call did not reach another upstream before its deadline");
     assert!(stopped.elapsed() < Duration::from_millis(6_000), "{:?}", stopped.elapsed());
     fleet.signal(0, "-CONT");
 }
 
 #[tokio::test]
-async fn a_call_whose_caller_leaves_is_given_up_at_its_upstream() {
+async fn call_is_abandoned_upstream_when_its_caller_disconnects() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.vms[0].upstream.set_work_ms(3_000);
     let left = tokio::time::timeout(Duration::from_millis(200), fleet.call(1, "GET", "/sheet/", "i-1")).await;
@@ -310,7 +318,7 @@
 }
 
 #[tokio::test]
-async fn a_route_is_held_no_longer_than_its_time_limit() {
+async fn call_ends_at_timeout_of_its_route() {
     let fleet = Fleet::start(&["rounds"]).await;
     fleet.vms[0].upstream.set_work_ms(3_000);
     let began = std::time::Instant::now();
@@ -320,7 +328,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_says_when_to_come_back_and_nothing_has_run() {
+async fn refused_call_has_retry_after_and_never_ran() {
     let fleet = Fleet::start(&["ledger"]).await;
     fleet.vms[0].upstream.set_work_ms(1_000);
     let addr = fleet.vms[0].caller_addr;
@@ -339,11 +347,11 @@
             assert_eq!(fleet.runs(&format!("k-{number}")), 0);
         }
     }
-    assert!(refused > 0, "six slots cannot run forty calls of a second");
+    assert!(refused > 0, "no call was refused, though six slots cannot run forty calls of a second");
 }
 
 #[tokio::test]
-async fn what_a_part_of_a_split_has_no_room_for_is_refused_and_not_moved_to_another() {
+async fn full_service_of_split_refuses_calls_without_moving_them() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.vms[0].upstream.set_work_ms(1_500);
     let addr = fleet.vms[1].caller_addr;
@@ -358,13 +366,13 @@
     for call in calls {
         refused += usize::from(call.await.expect("a result") == 503);
     }
-    assert!(refused > 30, "six slots of 1.5 s cannot run sixty calls, {refused} refused");
+    assert!(refused > 30, "only {refused} refused, though six slots cannot run sixty calls of 1.5 s");
     let moved = fleet.vms[1].upstream.arrivals().len();
-    assert!((58..=62).contains(&moved), "{moved} of {sent} calls at the part that has room");
+    assert!((58..=62).contains(&moved), "{moved} of {sent} calls at the service with free slots");
 }
 
 #[tokio::test]
-async fn a_service_that_rejects_everywhere_is_sent_few_calls_twice() {
+async fn retries_stay_within_budget_when_all_upstreams_reject() {
     let fleet = Fleet::start(&["rounds", "rounds", "rounds"]).await;
     for vm in &fleet.vms {
         vm.upstream.set_spoil(Spoil::Reject);
@@ -375,14 +383,13 @@
         assert_eq!(status(&reply), 503);
     }
     let arrivals: u64 = fleet.vms.iter().map(|vm| vm.upstream.rejected()).sum();
-    // A tenth of the calls, and this node's part of the reserve.
-    let repeats_max = calls / 10 + 60 / 3;
-    assert!(arrivals <= calls + repeats_max, "{arrivals} arrivals of {calls} calls");
+    // Retries are limited to a tenth of the calls and this node's share of the reserve.
+    let retries_max = calls / 10 + 60 / 3;
+    assert!(arrivals <= calls + retries_max, "{arrivals} arrivals of {calls} calls");
 }
 
-/// Returns the sum of a metric over all nodes, for one service.
-/// Adds up a metric over all nodes, of the rows with a label.
-async fn metric(fleet: &Fleet, name: &str, label: (&str, &str)) -> f64 {
+/// Returns the sum of a metric over all nodes, of the samples with a label.
+async fn metric_sum(fleet: &Fleet, name: &str, label: (&str, &str)) -> f64 {
     let mut sum = 0.0;
     for vm in &fleet.vms {
         let page = Client::new(vm.ready_addr).call("GET", "/metrics", &[], "").await.expect("a page");
@@ -395,24 +402,24 @@
 }
 
 #[tokio::test]
-async fn calls_of_a_repeated_run_are_counted_as_repeats() {
+async fn nested_calls_of_retried_run_are_counted() {
     let fleet = Fleet::start(&["rounds", "rounds", "ledger"]).await;
     for vm in &fleet.vms[..2] {
         vm.upstream.set_calls(vm.caller_addr, "/check/farm", 2);
     }
-    // Calls from beside another service show the owner that the others are made by runs.
+    // Calls that come in at another service's node show the owner which calls its own runs make.
     for number in 0..30 {
         assert_eq!(status(&fleet.call(2, "POST", "/pickup/", &format!("p-{number}")).await), 200);
         assert_eq!(status(&fleet.call(2, "GET", "/sheet/", &format!("s-{number}")).await), 200);
     }
-    assert_eq!(metric(&fleet, "valetrack_nested_repeats_total", ("service", "ledger")).await, 0.0);
+    assert_eq!(metric_sum(&fleet, "valetrack_nested_repeats_total", ("service", "ledger")).await, 0.0);
     fleet.vms[0].upstream.set_spoil(Spoil::Close);
     for number in 0..20 {
-        // The first runs end without an answer; those that are repeated elsewhere make their calls again.
+        // A first run ends without an answer. Its retry at the other upstream makes the nested calls again.
         let _ = fleet.call(2, "GET", "/sheet/", &format!("t-{number}")).await;
     }
-    let repeats = metric(&fleet, "valetrack_sends_total", ("service", "rounds")).await - 50.0;
-    assert!(repeats >= 1.0, "no call was sent again");
-    let nested = metric(&fleet, "valetrack_nested_repeats_total", ("service", "ledger")).await;
-    assert!(nested >= 1.0, "{nested} calls of {repeats} repeated runs");
+    let retries = metric_sum(&fleet, "valetrack_sends_total", ("service", "rounds")).await - 50.0;
+    assert!(retries >= 1.0, "no call was retried");
+    let nested = metric_sum(&fleet, "valetrack_nested_repeats_total", ("service", "ledger")).await;
+    assert!(nested >= 1.0, "{nested} nested calls of {retries} retried runs");
 }
--- a/standin/tests/store_rollback.rs
+++ b/standin/tests/store_rollback.rs
@@ -7,8 +7,8 @@
 //! at revisions 30 and 32, were in force nowhere, and callers of a route that an operator had added got 404. The one at
 //! 33 was in force 6 s after the outage.
 //!
-//! In the nodes' logs, `store.history_gone revision=33` ended when an answer to a node's own write at 34 showed the
-//! store past 33 again. `store.read_outdated revision=.. known=..` logs both sides of the comparison, and `store.era`
+//! The nodes logged `store.history_gone revision=33` until the store had reached 33 again, which they saw by the answer
+//! to a node's own write at 34. `store.read_outdated revision=.. known=..` logs both sides of the comparison, and `store.era`
 //! that the store reported another history.
 
 mod common;
