--- a/standin/tests/claim_rollback.rs
+++ b/standin/tests/claim_rollback.rs
@@ -25,7 +25,7 @@
 
 /// A fault of nodes around the store rollback; each variant has the number of nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum NodeFault {
+enum Fault {
     /// All nodes keep running.
     None,
     /// Nodes are suspended from before the rollback until all keys have been submitted again.
@@ -43,7 +43,7 @@
     (1..=count).map(|at| at % VMS)
 }
 
-impl NodeFault {
+impl Fault {
     async fn inject_before(self, fleet: &mut Fleet) {
         match self {
             Self::Suspended(count) => affected_nodes(count).for_each(|at| fleet.signal(at, "-STOP")),
@@ -118,30 +118,28 @@
     fleet
 }
 
-#[test_case(NodeFault::None, ""; "homes keep running")]
-#[test_case(NodeFault::None, "&history=7"; "homes keep running, and the store names another history")]
-#[test_case(NodeFault::None, "&connections=kept"; "homes keep running, and idle connections last")]
-#[test_case(NodeFault::Suspended(1), ""; "one home is suspended")]
-#[test_case(NodeFault::Suspended(1), "&connections=kept"; "one home is suspended, and idle connections last")]
-#[test_case(NodeFault::Suspended(3), ""; "three homes are suspended")]
-#[test_case(NodeFault::Suspended(3), "&history=7"; "three homes are suspended, and the store names another history")]
-#[test_case(NodeFault::KilledBefore(3), ""; "three homes are killed before")]
-#[test_case(NodeFault::KilledBefore(3), "&connections=kept"; "three homes are killed before, and idle connections last")]
-#[test_case(NodeFault::KilledAfter(3), ""; "three homes are killed after")]
-#[test_case(NodeFault::KilledAfter(1), "&history=7"; "one home is killed after, and the store names another history")]
-#[test_case(NodeFault::KilledBefore(4), ""; "all homes are killed")]
-#[test_case(NodeFault::StoppedBefore(2), ""; "two homes stop gracefully")]
-#[test_case(NodeFault::StoppedBefore(4), ""; "all homes stop gracefully")]
+#[test_case(Fault::None, ""; "homes keep running")]
+#[test_case(Fault::None, "&history=7"; "homes keep running, and the store names another history")]
+#[test_case(Fault::None, "&connections=kept"; "homes keep running, and idle connections last")]
+#[test_case(Fault::Suspended(1), ""; "one home is suspended")]
+#[test_case(Fault::Suspended(1), "&connections=kept"; "one home is suspended, and idle connections last")]
+#[test_case(Fault::Suspended(3), ""; "three homes are suspended")]
+#[test_case(Fault::Suspended(3), "&history=7"; "three homes are suspended, and the store names another history")]
+#[test_case(Fault::KilledBefore(3), ""; "three homes are killed before")]
+#[test_case(Fault::KilledBefore(3), "&connections=kept"; "three homes are killed before, and idle connections last")]
+#[test_case(Fault::KilledAfter(3), ""; "three homes are killed after")]
+#[test_case(Fault::KilledAfter(1), "&history=7"; "one home is killed after, and the store names another history")]
+#[test_case(Fault::KilledBefore(4), ""; "all homes are killed")]
+#[test_case(Fault::StoppedBefore(2), ""; "two homes stop gracefully")]
+#[test_case(Fault::StoppedBefore(4), ""; "all homes stop gracefully")]
 #[tokio::test]
-async fn no_key_runs_twice_after_store_rollback(fault: NodeFault, options: &str) {
+async fn no_key_runs_twice_after_store_rollback(fault: Fault, options: &str) {
     let mut fleet = fleet_with_keys_after_copy().await;
     fault.inject_before(&mut fleet).await;
     roll_back_store(&fleet, options).await;
     fault.inject_after(&mut fleet);
     let nodes: Vec<usize> = match fault {
-        NodeFault::Suspended(count) => {
-            (0..VMS).filter(|at| affected_nodes(count).all(|faulted| faulted != *at)).collect()
-        }
+        Fault::Suspended(count) => (0..VMS).filter(|at| affected_nodes(count).all(|faulted| faulted != *at)).collect(),
         _ => (0..VMS).collect(),
     };
     for &at in &nodes {
@@ -157,7 +155,7 @@
     let outcomes = resubmit_all(&fleet, &nodes).await;
     println!("{fault:?}{options}: after the faults {outcomes:?}");
     assert_nothing_ran_twice(&fleet).await;
-    if matches!(fault, NodeFault::None | NodeFault::Suspended(_)) {
+    if matches!(fault, Fault::None | Fault::Suspended(_)) {
         assert_eq!(
             outcomes,
             BTreeMap::from([("ran".to_owned(), KEYS)]),
--- a/standin/tests/crashing_call.rs
+++ b/standin/tests/crashing_call.rs
@@ -1,9 +1,9 @@
 //! Calls that crash the upstreams that run them, on real nodes.
 //!
-//! The tests guard against one request that crashes upstream after upstream. It came again and again at any node, with
-//! the same path, caller and body under another id each time, and each upstream that began to run it crashed and was
-//! away for some three seconds, with every call that it was running. Thirteen upstreams crashed in a row, and callers of
-//! the service were refused for half a minute, three times in a day.
+//! The tests guard against one request that crashes upstream after upstream. It arrived repeatedly at any node, with the
+//! same path, caller and body under another id each time. Each upstream that began to run it crashed and was away for
+//! some three seconds, with every call that it was running. Thirteen upstreams crashed in a row, and callers of the
+//! service were refused for half a minute, three times in a day.
 //!
 //! Two upstreams crashed within 0.1 s, since the node that had sent the request to the first one retried it at the
 //! second. The other two crashed a second later, and each crashed again as soon as the request reached it after its
@@ -13,10 +13,10 @@
 //! judged by the id of its call alone. No record tied a request to the upstreams that it had crashed, so each arrival
 //! started without any record at every node.
 //!
-//! The owner's log showed the calls that failed at the same moment, four of them at 17.0339 s, and a port that was closed
-//! 24 ms later. The one request among them each time was found by the callers' records. Overload is ruled out: a warm
-//! upstream under usual load crashed as well as a cold one. Retries alone are not the cause either: upstreams also crash
-//! where the call isn't repeatable, only more slowly.
+//! The owner's log showed calls that failed at the same moment, four of them at 17.0339 s, and a port that was closed
+//! 24 ms later. The callers' records showed the one request that was among them each time. Overload was ruled out: a
+//! warm upstream under usual load crashed as well as a cold one. The fleet's own retries are not the cause either:
+//! upstreams also crash where the call isn't repeatable, only more slowly.
 
 mod common;
 
@@ -52,7 +52,7 @@
         calls.spawn(async move {
             let id = format!("deadly-{number}");
             let headers = [("host", "farm.example"), ("x-request-id", &*id), ("x-deadline-milliseconds", "800")];
-            // The caller sends it again with any result.
+            // The result is ignored: the caller sends the request again in any case.
             let _ = Client::new(addr).call(method, path, &headers, "the same body").await;
         });
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -237,7 +237,7 @@
     for vm in &fleet.vms {
         vm.upstream.set_deadly(path, DOWNTIME);
     }
-    // One node can't write a crash that it observes, and another can't read the crashes of the others.
+    // The first crash may be observed by a node that can't write records, and the others by one that can't read them.
     fleet.vms[0].store_access.set(standin::managed::store::Mode::Refusing);
     fleet.vms[1].store_access.set(standin::managed::store::Mode::Silent);
     crash_upstreams(&fleet, path, CRASHES_MAX).await;
--- a/standin/tests/evacuation.rs
+++ b/standin/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuation of a failure domain, played with real nodes on the stand-ins of both platforms.
+//! Evacuation of a failure domain, with real nodes on the stand-ins of both platforms.
 
 mod common;
 
@@ -10,24 +10,23 @@
 use standin::client::Client;
 use standin::managed::store::Mode;
 
-/// An operator's evacuation of a domain is in force everywhere within this time: the least that a
-/// platform asks for.
-const IN_FORCE: Duration = Duration::from_millis(5_000);
+/// Longest time until an operator's evacuation is in force at every node, the minimum that a platform requires.
+const IN_FORCE_MAX: Duration = Duration::from_millis(5_000);
 const KRANJ: &str = "op/evacuate/kranj";
 const LOKA: &str = "op/evacuate/loka";
 
-/// Returns how many calls reached the upstream beside a VM so far.
+/// Returns how many calls have reached the upstream of a VM.
 fn arrivals(fleet: &Fleet, at: usize) -> usize {
     fleet.vms[at].upstream.arrivals().len()
 }
 
-/// Waits until calls that come at any VM are answered by one upstream alone, ten in a row.
+/// Waits until ten calls in a row, at all nodes in turn, are answered by the wanted upstream.
 async fn wait_answered_by(fleet: &Fleet, wanted: usize) {
     let in_row = Cell::new(0);
-    wait_for("answers of one upstream alone", async || {
+    wait_for("answers from one upstream alone", async || {
         for at in 0..fleet.vms.len() {
-            let right = fleet.answering_vm(at, "settled").await == Some(wanted);
-            in_row.set(if right { in_row.get() + 1 } else { 0 });
+            let is_wanted = fleet.answering_vm(at, "settled").await == Some(wanted);
+            in_row.set(if is_wanted { in_row.get() + 1 } else { 0 });
         }
         in_row.get() >= 10
     })
@@ -35,12 +34,12 @@
 }
 
 #[tokio::test]
-async fn an_evacuated_domain_gets_nothing_and_its_entries_serve_on() {
+async fn evacuated_domain_runs_no_calls_while_its_entries_serve() {
     let fleet = Fleet::start(&["rounds", "rounds", "ledger", "ledger"]).await;
     fleet.store.put(KRANJ, "{}");
     let began = Instant::now();
     wait_answered_by(&fleet, 1).await;
-    assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
+    assert!(began.elapsed() < IN_FORCE_MAX, "{:?}", began.elapsed());
     let before = arrivals(&fleet, 0);
     for number in 0..40 {
         let id = format!("away-{number}");
@@ -48,8 +47,8 @@
     }
     assert_eq!(arrivals(&fleet, 0), before);
     fleet.store.revoke(KRANJ);
-    wait_for("work after the return", async || {
-        // Some calls at once, so that the other upstream is not always the better one.
+    wait_for("calls to the returned domain", async || {
+        // Concurrent calls, so that the load makes the other upstream the worse choice for some of them.
         let calls = (0..12).map(|_| fleet.call(0, "GET", "/sheet/", "return"));
         futures::future::join_all(calls).await;
         arrivals(&fleet, 0) > before
@@ -58,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn with_all_domains_evacuated_calls_are_refused_at_once_and_have_not_run() {
+async fn calls_are_refused_unrun_when_all_domains_are_evacuated() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.store.put(KRANJ, "{}");
     fleet.store.put(LOKA, "{}");
@@ -74,14 +73,14 @@
 }
 
 #[tokio::test]
-async fn a_node_that_starts_in_an_evacuation_while_the_store_is_away_is_told_by_its_peers() {
+async fn node_restarted_in_store_outage_learns_evacuation() {
     let mut fleet = Fleet::start(&["rounds", "rounds", "ledger"]).await;
     fleet.store.put(KRANJ, "{}");
     wait_answered_by(&fleet, 1).await;
     fleet.store.set_mode(Mode::Refusing);
     fleet.kill_node(0);
     fleet.start_node(0);
-    // Whoever calls it shows it to be alive and is told what it lacks.
+    // A peer that calls the node shows that it is up, learns what the node lacks, and sends it.
     wait_for("readiness", async || {
         let _ = fleet.call(2, "GET", "/sheet/", "wake").await;
         let _ = fleet.call(1, "GET", "/sheet/", "wake").await;
@@ -97,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn an_evacuation_before_an_outage_of_the_store_is_in_force_after_it() {
+async fn evacuation_before_store_outage_is_in_force_after_it() {
     let fleet = Fleet::start(&["rounds", "rounds", "ledger"]).await;
     fleet.store.put(KRANJ, "{}");
     fleet.store.set_mode(Mode::Refusing);
@@ -106,11 +105,11 @@
     fleet.store.set_mode(Mode::Up);
     let back = Instant::now();
     wait_answered_by(&fleet, 1).await;
-    assert!(back.elapsed() < IN_FORCE, "{:?}", back.elapsed());
+    assert!(back.elapsed() < IN_FORCE_MAX, "{:?}", back.elapsed());
 }
 
 #[tokio::test]
-async fn a_node_that_the_store_turns_away_learns_of_an_evacuation_from_the_others() {
+async fn node_refused_by_store_learns_evacuation_from_peers() {
     let fleet = Fleet::start(&["rounds", "rounds", "ledger"]).await;
     for refused in [2, 0] {
         fleet.vms[refused].store_access.set(Mode::Refusing);
@@ -118,7 +117,7 @@
         fleet.store.put(KRANJ, "{}");
         let began = Instant::now();
         wait_answered_by(&fleet, 1).await;
-        assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
+        assert!(began.elapsed() < IN_FORCE_MAX, "{:?}", began.elapsed());
         let before = arrivals(&fleet, 0);
         for number in 0..24 {
             let id = format!("turned-away-{refused}-{number}");
@@ -127,7 +126,7 @@
         assert_eq!(arrivals(&fleet, 0), before);
         fleet.vms[refused].store_access.set(Mode::Up);
         fleet.store.revoke(KRANJ);
-        wait_for("work after the return", async || {
+        wait_for("calls to the returned domain", async || {
             let calls = (0..12).map(|_| fleet.call(1, "GET", "/sheet/", "return"));
             futures::future::join_all(calls).await;
             arrivals(&fleet, 0) > before
@@ -137,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn an_operators_word_evacuates_a_domain_of_the_own_interface() {
+async fn operator_command_evacuates_and_returns_domain() {
     let fleet = NativeFleet::with_intake(4).await;
     let domain = fleet.vms[3].domain.clone();
     let evacuated: Vec<usize> = (0..4).filter(|at| fleet.vms[*at].domain == domain).collect();
@@ -145,7 +144,7 @@
     let operator = |words: &[&str]| fleet.valetrack(&[&["domain"], words, &["--store", &store]].concat());
     operator(&["evacuate", &domain]).expect("evacuated");
     assert!(operator(&["status"]).expect("a status").contains(&*domain));
-    let settled = async || {
+    let is_idle = async || {
         let before = runs_at(&fleet, &evacuated).await;
         for number in 0..24 {
             let reply = fleet.client_at(number % 4).call("GET", "/", &[("valetrack-service", "intake")], "x").await;
@@ -153,11 +152,12 @@
         }
         runs_at(&fleet, &evacuated).await == before
     };
-    wait_for("an evacuated domain without work", settled).await;
+    wait_for("an evacuated domain without calls", is_idle).await;
     operator(&["return", &domain]).expect("returned");
-    wait_for("work after the return", async || !settled().await).await;
+    wait_for("calls to the returned domain", async || !is_idle().await).await;
 }
 
+/// Returns how many calls the servers of some VMs have run.
 async fn runs_at(fleet: &NativeFleet, vms: &[usize]) -> u64 {
     let mut runs = 0;
     for at in vms {
--- a/standin/tests/managed.rs
+++ b/standin/tests/managed.rs
@@ -168,11 +168,11 @@
 
 /// Nodes of the fleet whose calls to the store are counted. Its entries fill three pages of the store.
 const FLEET_SIZE: usize = 10;
-/// Most calls per node to the store from the fleet's start until three seconds after all nodes serve. An idle machine
-/// has 4.6, and 6.2 where each node follows the store closely until it has found its relay.
+/// Most calls per node to the store from the fleet's start until three seconds after all nodes serve. They are
+/// 4.6 on an idle machine, and 6.2 where each node follows the store closely until it has found its relay.
 const START_CALLS_MAX: f64 = 5.5;
-/// Most calls per node to the store over an outage of 1.5 s and the 3 s after it, the relays' calls included. An idle
-/// machine has 7.6 to 7.9, and 10.6 where each node reads the whole store after the outage.
+/// Most calls per node to the store over an outage of 1.5 s and the 3 s after it, the relays' calls included. They
+/// are 7.6 to 7.9 on an idle machine, and 10.6 where each node reads the whole store after the outage.
 const OUTAGE_CALLS_MAX: f64 = 9.0;
 
 /// Starts a fleet of [`FLEET_SIZE`] nodes, and waits until all have their entries.
--- a/standin/tests/roll_rollback.rs
+++ b/standin/tests/roll_rollback.rs
@@ -1,8 +1,9 @@
-//! Operators roll bundles after the product's own store came back from a copy that lacks the roll in force.
+//! Bundles that operators publish after Valetrack's own store was restored from a copy that lacks the bundle in force.
 //!
-//! The story: number 2 was in force everywhere when the store came back from a copy that held number 1. The next roll was
-//! given number 2 as well. Every node refused it as no later one than its own, the operator was told that it was rolled,
-//! and it was in force nowhere until the roll after it.
+//! The tests guard against a published bundle that no node accepts. Number 2 was in force everywhere when the store was
+//! restored from a copy that held number 1. The next bundle got number 2 as well. Every node refused it, as it was no
+//! later than the node's own, while the operator's command reported success; it was in force nowhere until the bundle
+//! after it.
 
 mod common;
 
@@ -15,24 +16,27 @@
 use tokio::time::sleep;
 
 const VMS: usize = 4;
-/// Time within which a roll is to be in force at every node.
-const IN_FORCE: Duration = Duration::from_millis(7_000);
+/// Longest time until a published bundle is in force at every node.
+const IN_FORCE_MAX: Duration = Duration::from_millis(7_000);
 
-/// Returns a bundle that differs from all others.
+/// Returns a bundle text that is unique to its number of slots.
 fn bundle(slots: usize) -> String {
     common::INTAKE_BUNDLE.replace("slots = 6", &format!("slots = {slots}"))
 }
 
+/// Returns the status page of a node.
 async fn status(fleet: &Fleet, at: usize) -> Value {
     let page = Client::new(fleet.vms[at].admin_addr).call("GET", "/status", &[], "").await;
     page.ok().and_then(|page| serde_json::from_slice(&page.body).ok()).unwrap_or_default()
 }
 
+/// Returns the bundle status that the operator's command reads from the store.
 fn stored(fleet: &Fleet) -> Value {
     let status = fleet.valetrack(&["bundle", "status", "--json", "--store", &fleet.store_addr.to_string()]);
     serde_json::from_str(&status.expect("a status")).expect("json")
 }
 
+/// Writes and approves a bundle; returns its version.
 fn approve(fleet: &Fleet, text: &str) -> String {
     let file = fleet.file("next.toml", text);
     let store = fleet.store_addr.to_string();
@@ -42,17 +46,17 @@
     version
 }
 
-/// Waits until every node serves a version.
-async fn all_serve(fleet: &Fleet, version: &str) {
-    let rolled = Instant::now();
+/// Waits until every node serves a version, and checks the time that it took.
+async fn assert_all_serve(fleet: &Fleet, version: &str) {
+    let published = Instant::now();
     for at in 0..VMS {
-        wait_for("the roll in force", async || status(fleet, at).await["bundle_version"] == version).await;
+        wait_for("the published bundle in force", async || status(fleet, at).await["bundle_version"] == version).await;
     }
-    assert!(rolled.elapsed() < IN_FORCE, "in force after {:?}", rolled.elapsed());
+    assert!(published.elapsed() < IN_FORCE_MAX, "in force after {:?}", published.elapsed());
 }
 
-/// Brings up a fleet that serves number 2, of which the store's copy knows nothing; returns its version.
-async fn fleet_beyond_its_copy() -> (Fleet, String) {
+/// Starts a fleet that serves bundle number 2, which the store's copy lacks; returns that bundle's version.
+async fn fleet_ahead_of_copy() -> (Fleet, String) {
     let fleet = Fleet::with_intake(VMS).await;
     fleet.store_command("_copy").await;
     assert_eq!(fleet.publish(&bundle(7)), 2);
@@ -63,8 +67,9 @@
     (fleet, version)
 }
 
-async fn come_back(fleet: &Fleet, how: &str) {
-    fleet.store_command(&format!("_return?away_ms=700{how}")).await;
+/// Makes the store go away for 0.7 s and restores it from its copy.
+async fn roll_back_store(fleet: &Fleet, options: &str) {
+    fleet.store_command(&format!("_return?away_ms=700{options}")).await;
     sleep(Duration::from_millis(730)).await;
 }
 
@@ -73,17 +78,17 @@
 #[test_case("", 2_500; "later")]
 #[test_case("&history=7", 2_500; "later, and the store names another history")]
 #[tokio::test]
-async fn a_roll_after_the_store_came_back_older_is_in_force_at_nodes(how: &str, after_ms: u64) {
-    let (fleet, _) = fleet_beyond_its_copy().await;
-    come_back(&fleet, how).await;
+async fn bundle_published_after_store_rollback_is_in_force(options: &str, after_ms: u64) {
+    let (fleet, _) = fleet_ahead_of_copy().await;
+    roll_back_store(&fleet, options).await;
     sleep(Duration::from_millis(after_ms)).await;
     fleet.publish(&bundle(9));
     let version = version_of(&bundle(9));
-    all_serve(&fleet, &version).await;
+    assert_all_serve(&fleet, &version).await;
     for at in 0..VMS {
-        assert!(fleet.bundle_number(at).await > 2, "no number is given to two bundles");
+        assert!(fleet.bundle_number(at).await > 2, "a number was assigned to two bundles");
     }
-    wait_for("the store to hold what is served", async || stored(&fleet)["version"] == *version).await;
+    wait_for("the served version in the store", async || stored(&fleet)["version"] == *version).await;
 }
 
 fn version_of(text: &str) -> String {
@@ -91,10 +96,10 @@
 }
 
 #[tokio::test]
-async fn the_lost_roll_stands_in_the_store_again_and_its_approval_does_not() {
-    let (fleet, second) = fleet_beyond_its_copy().await;
-    come_back(&fleet, "").await;
-    wait_for("the lost roll", async || stored(&fleet)["number"] == 2).await;
+async fn lost_bundle_is_restored_to_store_without_its_approval() {
+    let (fleet, second) = fleet_ahead_of_copy().await;
+    roll_back_store(&fleet, "").await;
+    wait_for("the lost bundle in the store", async || stored(&fleet)["number"] == 2).await;
     assert_eq!(stored(&fleet)["version"], *second);
     let store = fleet.store_addr.to_string();
     let refused = fleet.valetrack(&["bundle", "roll", &second, "--operator", "ana", "--store", &store]);
@@ -107,58 +112,62 @@
 }
 
 #[tokio::test]
-async fn a_roll_is_in_force_after_all_nodes_have_started_on_the_copy() {
-    let (mut fleet, _) = fleet_beyond_its_copy().await;
+async fn bundle_is_in_force_after_all_nodes_restart_on_copy() {
+    let (mut fleet, _) = fleet_ahead_of_copy().await;
     (0..VMS).for_each(|at| fleet.kill_node(at));
-    come_back(&fleet, "").await;
+    roll_back_store(&fleet, "").await;
     (0..VMS).for_each(|at| fleet.start_node(at));
     fleet.wait_ready().await;
     fleet.publish(&bundle(9));
-    all_serve(&fleet, &version_of(&bundle(9))).await;
+    assert_all_serve(&fleet, &version_of(&bundle(9))).await;
 }
 
 #[tokio::test]
-async fn of_two_operators_who_roll_after_the_return_the_last_is_in_force() {
-    let (fleet, _) = fleet_beyond_its_copy().await;
-    come_back(&fleet, "").await;
+async fn last_bundle_published_after_store_rollback_is_in_force() {
+    let (fleet, _) = fleet_ahead_of_copy().await;
+    roll_back_store(&fleet, "").await;
     let versions = [approve(&fleet, &bundle(8)), approve(&fleet, &bundle(9))];
     let store = fleet.store_addr.to_string();
-    let rolled = versions
+    let published = versions
         .each_ref()
         .map(|version| fleet.valetrack(&["bundle", "roll", version, "--operator", "cene", "--store", &store]));
-    assert!(rolled[1].is_ok(), "{rolled:?}");
-    all_serve(&fleet, &versions[1]).await;
+    assert!(published[1].is_ok(), "{published:?}");
+    assert_all_serve(&fleet, &versions[1]).await;
 }
 
 #[tokio::test]
-async fn an_evacuation_that_the_copy_lacks_holds_and_stands_in_the_store_again() {
-    let (fleet, _) = fleet_beyond_its_copy().await;
+async fn evacuation_missing_from_copy_is_restored_to_store() {
+    let (fleet, _) = fleet_ahead_of_copy().await;
     let store = fleet.store_addr.to_string();
     fleet.valetrack(&["domain", "evacuate", "kranj", "--store", &store]).expect("evacuated");
     for at in 0..VMS {
-        let told = async || fleet.log(at).contains("event=member.evacuation");
-        wait_for("the evacuation at the node", told).await;
+        let is_logged = async || fleet.log(at).contains("event=member.evacuation");
+        wait_for("the evacuation at the node", is_logged).await;
     }
-    come_back(&fleet, "").await;
-    let shown = async || {
+    roll_back_store(&fleet, "").await;
+    let is_stored = async || {
         let status = fleet.valetrack(&["domain", "status", "--store", &store]).unwrap_or_default();
         status.contains("kranj")
     };
-    wait_for("the evacuation in the store", shown).await;
+    wait_for("the evacuation in the store", is_stored).await;
 }
 
 #[tokio::test]
-async fn a_roll_that_asks_nodes_says_what_they_serve_and_goes_beyond_it() {
-    let (mut fleet, _) = fleet_beyond_its_copy().await;
-    // The only nodes that could write the lost roll again are suspended until the operator has rolled.
+async fn publish_with_admin_reports_and_exceeds_served_number() {
+    let (mut fleet, _) = fleet_ahead_of_copy().await;
+    // The only node that could write the lost bundle again is suspended until the next one is approved.
     (1..VMS).for_each(|at| fleet.kill_node(at));
     fleet.signal(0, "-STOP");
-    come_back(&fleet, "").await;
+    roll_back_store(&fleet, "").await;
     let version = approve(&fleet, &bundle(9));
     fleet.signal(0, "-CONT");
     let (store, admin) = (fleet.store_addr.to_string(), fleet.vms[0].admin_addr.to_string());
-    let words = ["bundle", "roll", &version, "--operator", "ana", "--store", &store, "--admin", &admin, "--json"];
-    let rolled: Value = serde_json::from_str(&fleet.valetrack(&words).expect("rolled")).expect("json");
-    assert_eq!((&rolled["nodes_served"], &rolled["number"]), (&Value::from(2), &Value::from(3)));
-    assert_eq!(status(&fleet, 0).await["bundle_version"], *version, "the command has waited for it");
+    let arguments = ["bundle", "roll", &version, "--operator", "ana", "--store", &store, "--admin", &admin, "--json"];
+    let published: Value = serde_json::from_str(&fleet.valetrack(&arguments).expect("rolled")).expect("json");
+    assert_eq!((&published["nodes_served"], &published["number"]), (&Value::from(2), &Value::from(3)));
+    assert_eq!(
+        status(&fleet, 0).await["bundle_version"],
+        *version,
+        "the command returned before the node served the bundle"
+    );
 }
--- a/standin/tests/soak.rs
+++ b/standin/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Short runs of the fault soak by fixed seeds, and the seeds that ever broke a promise.
+//! Short runs of the fault soak with fixed seeds, among them each seed that has broken a guarantee.
 
 mod common;
 
@@ -6,38 +6,38 @@
 use standin::soak::{SoakSettings, run};
 use test_case::test_case;
 
-// Seeds that are multiples of three bring planned work alone.
+// Seeds that are multiples of three run planned work alone.
 #[test_case(3, 6, 6; "planned work")]
 #[test_case(4, 6, 6; "faults of every kind")]
-// A caller was accepted by a listener that had just told it was empty, and was cut by the exit.
+// A listener accepted a caller just after it had reported no callers, and the exit closed the connection.
 #[test_case(108, 6, 6; "stops in series")]
-// A call waited for a slot until 4 ms before its deadline, was begun and cut, and may have run.
+// A call waited for a slot until 4 ms before its deadline, was started and cut off, and may have run.
 #[test_case(750, 12, 8; "a wait up to the deadline")]
 fn no_promise_is_broken(seed: u64, seconds: u64, vms: usize) {
-    play(seed, seconds, vms, false, false);
+    assert_no_breaches(seed, seconds, vms, false, false);
 }
 
 #[test_case(5, 10, 8; "faults of every kind")]
 #[test_case(6, 8, 8; "planned work")]
 fn no_promise_is_broken_among_crashes_and_suspensions(seed: u64, seconds: u64, vms: usize) {
-    play(seed, seconds, vms, true, false);
+    assert_no_breaches(seed, seconds, vms, true, false);
 }
 
 #[test_case(7, 8, 8; "faults of every kind")]
 #[test_case(9, 8, 6; "planned work")]
-// A renewal was told that the lease was over while reads failed; the task that keeps the entry panicked at that,
-// nobody noticed, and no entry came back.
+// A renewal was answered that the lease was over while reads failed. The task that keeps the entry panicked, the panic
+// went unnoticed, and no entry was written again.
 #[test_case(2108, 10, 8; "a lease that is over while reads fail")]
 fn no_promise_is_broken_while_the_store_comes_back_older(seed: u64, seconds: u64, vms: usize) {
-    play(seed, seconds, vms, false, true);
+    assert_no_breaches(seed, seconds, vms, false, true);
 }
 
-fn play(seed: u64, seconds: u64, vms: usize, crashes: bool, rollbacks: bool) {
+fn assert_no_breaches(seed: u64, seconds: u64, vms: usize, crashes: bool, rollbacks: bool) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let logs = std::env::temp_dir().join(format!("valetrack-soak-{}-{seed}-{crashes}-{rollbacks}", std::process::id()));
     let settings = SoakSettings { seed, seconds, vms, program: valetrack(), logs, crashes, rollbacks };
     let report = runtime.block_on(run(&settings)).expect("a fleet");
     assert!(report.ends.get("200").is_some_and(|&served| served > 100), "{:?}", report.ends);
     let breaches: Vec<String> = report.breaches.iter().map(ToString::to_string).collect();
-    assert!(breaches.is_empty(), "{breaches:#?}\nwhat the nodes wrote: {}", settings.logs.display());
+    assert!(breaches.is_empty(), "{breaches:#?}\nthe nodes' logs: {}", settings.logs.display());
 }
--- a/standin/tests/steady_state.rs
+++ b/standin/tests/steady_state.rs
@@ -1,4 +1,4 @@
-//! Decisions allocate nothing in steady state, counted by the allocator.
+//! Checks by a counting allocator that placement decisions don't allocate in steady state.
 
 use standin::slope::{Counting, allocations};
 use valetrack::gate::LoadReport;
@@ -10,7 +10,7 @@
 static ALLOCATOR: Counting = Counting;
 
 #[test]
-fn a_pick_and_a_call_allocate_nothing() {
+fn pick_and_call_allocate_nothing() {
     let mut view = ServiceView::new(Policy::Valetrack);
     for server in 0..4 {
         view.set_present(server, true, 100);
--- a/standin/tests/store_rollback.rs
+++ b/standin/tests/store_rollback.rs
@@ -8,8 +8,8 @@
 //! 33 was in force 6 s after the outage.
 //!
 //! The nodes logged `store.history_gone revision=33` until the store had reached 33 again, which they saw by the answer
-//! to a node's own write at 34. `store.read_outdated revision=.. known=..` logs both sides of the comparison, and `store.era`
-//! that the store reported another history.
+//! to a node's own write at 34. `store.read_outdated revision=.. known=..` logs both sides of the comparison, and
+//! `store.era` logs that the store reported another history.
 
 mod common;
 
@@ -202,7 +202,7 @@
         vm.store_access.set(Mode::Up);
     }
     let back = Instant::now();
-    // No call is sent, since a link would carry the version as well.
+    // No call is sent, since calls also make nodes exchange the version.
     for at in 1..4 {
         wait_for("the version that the store has lost", async || version_at(&fleet, at).await == 4 + INITIAL_CONFIGS)
             .await;
--- a/standin/tests/suspension.rs
+++ b/standin/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! VMs that are suspended, beside real nodes: the steady clock stood still and the others went on.
+//! VM suspensions with real nodes: the node's monotonic clock does not advance while its peers go on.
 
 mod common;
 
@@ -7,15 +7,15 @@
 use common::managed::{Fleet, status};
 use common::wait_for;
 
-/// Time within which an entry that was lost is back, and a margin for a busy machine.
-const ENTRY_BACK: Duration = Duration::from_millis(2_500);
+/// Longest time until a lost entry is written again, with a margin for a busy machine.
+const ENTRY_BACK_MAX: Duration = Duration::from_millis(2_500);
 
 #[tokio::test]
-async fn a_node_whose_vm_was_suspended_serves_at_once_as_entry_and_as_owner() {
+async fn node_of_suspended_vm_serves_as_entry_and_owner() {
     let fleet = Fleet::start(&["rounds", "rounds", "ledger"]).await;
     for round in 0..4 {
         for suspended in 0..3 {
-            // Links stand before the suspension.
+            // These calls open the links before the suspension.
             for at in 0..3 {
                 let warm = fleet.call(at, "GET", "/sheet/", &format!("warm-{round}-{suspended}-{at}")).await;
                 assert_eq!(status(&warm), 200);
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_lapsed_in_a_suspension_is_back_within_two_seconds() {
+async fn entry_lapsed_in_suspension_is_written_again_within_limit() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.signal(0, "-STOP");
     fleet.store.lapse();
@@ -43,12 +43,12 @@
     fleet.signal(0, "-CONT");
     let back = Instant::now();
     wait_for("both entries", async || fleet.entries() == 2).await;
-    assert!(back.elapsed() < ENTRY_BACK, "{:?}", back.elapsed());
+    assert!(back.elapsed() < ENTRY_BACK_MAX, "{:?}", back.elapsed());
     assert_eq!(status(&fleet.call(1, "GET", "/sheet/", "back").await), 200);
 }
 
 #[tokio::test]
-async fn a_call_that_is_out_when_the_entry_is_suspended_is_never_run_twice_nor_denied() {
+async fn call_in_flight_at_suspended_entry_runs_once_undenied() {
     let fleet = Fleet::start(&["rounds", "ledger", "ledger"]).await;
     for vm in &fleet.vms {
         vm.upstream.set_work_ms(300);
@@ -58,7 +58,7 @@
     let suspended = async {
         tokio::time::sleep(Duration::from_millis(120)).await;
         fleet.signal(0, "-USR2");
-        // A call after it finds the links given up and opens others.
+        // The next call finds the links closed and opens new ones.
         status(&fleet.call(0, "GET", "/sheet/", "next").await)
     };
     let (replies, next) = futures::join!(futures::future::join_all(calls), suspended);
@@ -66,6 +66,6 @@
     for (id, reply) in ids.iter().zip(replies) {
         let runs = fleet.runs(id);
         assert!(runs <= 1, "{id} ran {runs} times");
-        assert!(status(&reply) != 503 || runs == 0, "{id} is told that it did not run");
+        assert!(status(&reply) != 503 || runs == 0, "{id} was answered as not run and ran");
     }
 }
--- a/standin/tests/upstream_start.rs
+++ b/standin/tests/upstream_start.rs
@@ -1,4 +1,4 @@
-//! Upstreams that turn cold and that start again under their old id, beside real nodes.
+//! Upstreams that turn cold or restart under their old id, with real nodes.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use common::managed::{COLD_PER_S, Fleet, call, status};
 use common::wait_for;
 
-/// What the platform lets a cold upstream get in a second, as a multiple of what it bears.
+/// Most calls per second that the platform allows at a cold upstream, as a multiple of what the upstream accepts.
 const COLD_OVERAGE: f64 = 1.5;
 
-/// Puts calls to the upstreams of a route for a while, 100 a second; returns how many were served, and
-/// the longest time that one took which was not.
+/// Sends 100 calls per second to a node for a while; returns how many were served, and the longest duration of those
+/// that were not.
 async fn send_calls(fleet: &Fleet, at: usize, during: Duration) -> (usize, Duration) {
     let addr = fleet.vms[at].caller_addr;
     let began = Instant::now();
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn an_upstream_gets_what_it_bears_whenever_it_turns_cold() {
+async fn cold_upstream_gets_no_more_calls_than_allowed() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     let upstream = &fleet.vms[0].upstream;
     for _ in 0..2 {
@@ -45,18 +45,18 @@
         wait_for("a heartbeat", async || upstream.acknowledged() >= acknowledged + 2).await;
         let (served, longest) = send_calls(&fleet, 1, Duration::from_millis(1_500)).await;
         assert!(served as f64 >= COLD_PER_S, "{served} calls served while cold");
-        // Whoever is not let in hears of it long before the deadline of 1.5 s.
+        // A call that is not admitted is refused long before its deadline of 1.5 s.
         assert!(longest < Duration::from_millis(700), "{longest:?}");
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         let (served, _) = send_calls(&fleet, 1, Duration::from_millis(1_000)).await;
         assert!(served > 60, "{served} calls served while warm");
     }
-    let most = upstream.most_while_cold();
-    assert!(most as f64 <= COLD_PER_S * COLD_OVERAGE, "{most} calls in one second while cold");
+    let peak_calls = upstream.most_while_cold();
+    assert!(peak_calls as f64 <= COLD_PER_S * COLD_OVERAGE, "{peak_calls} calls in one second while cold");
 }
 
 #[tokio::test]
-async fn a_node_that_starts_again_knows_that_its_upstream_is_cold() {
+async fn restarted_node_limits_calls_to_cold_upstream() {
     let mut fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.vms[0].upstream.turn_cold(Duration::from_millis(4_000));
     let acknowledged = fleet.vms[0].upstream.acknowledged();
@@ -65,15 +65,15 @@
     fleet.kill_node(0);
     fleet.start_node(0);
     send_calls(&fleet, 1, Duration::from_millis(1_500)).await;
-    let most = fleet.vms[0].upstream.most_while_cold();
-    assert!(most as f64 <= COLD_PER_S * COLD_OVERAGE + 8.0, "{most} calls in one second while cold");
+    let peak_calls = fleet.vms[0].upstream.most_while_cold();
+    assert!(peak_calls as f64 <= COLD_PER_S * COLD_OVERAGE + 8.0, "{peak_calls} calls in one second while cold");
 }
 
 #[tokio::test]
-async fn an_upstream_that_starts_again_under_its_id_takes_work_after_it_had_left() {
+async fn drained_upstream_restarted_under_same_id_is_used_again() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     let upstream = &fleet.vms[0].upstream;
-    // Its count is high by then, and starts anew.
+    // The upstream's heartbeat sequence is high by then, and starts at zero after the restart.
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     upstream.drain();
     let acknowledged = upstream.acknowledged();
--- a/standin/tests/whole_path.rs
+++ b/standin/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path through real processes, and bad input on every port.
+//! The path of a call through real processes, and invalid input on every port.
 
 mod common;
 
@@ -12,17 +12,17 @@
 use tokio::time::timeout;
 
 #[tokio::test]
-async fn every_door_serves_reads_and_writes() {
+async fn every_caller_listener_serves_reads_and_writes() {
     let fleet = Fleet::with_intake(3).await;
     for at in 0..3 {
-        let door = fleet.client_at(at);
+        let client = fleet.client_at(at);
         for number in 0..20 {
             let body = format!("door-{at}-{number}");
-            let read = door.call("GET", "/sheet", &[("valetrack-service", "intake")], body.clone()).await;
+            let read = client.call("GET", "/sheet", &[("valetrack-service", "intake")], body.clone()).await;
             let read = read.expect("an answer");
             assert_eq!((read.status, read.header("valetrack-outcome")), (200, "ran"));
             assert_eq!(read.body, body.as_bytes());
-            let written = submit(&door, &body).await;
+            let written = submit(&client, &body).await;
             assert_eq!(outcome_of(&written), "ran");
             assert_eq!(written.expect("an answer").body, body.as_bytes());
         }
@@ -33,16 +33,16 @@
 }
 
 #[tokio::test]
-async fn the_time_line_tells_a_call_through_all_processes() {
+async fn timeline_shows_a_call_across_all_processes() {
     let fleet = Fleet::with_intake(3).await;
     let headers = [("valetrack-service", "intake"), ("idempotency-key", "k"), ("valetrack-call", "told")];
     fleet.client_at(0).call("POST", "/pickups", &headers, "x").await.expect("an answer");
-    let mut words = vec!["timeline".to_owned(), "--call".into(), "told".into()];
+    let mut arguments = vec!["timeline".to_owned(), "--call".into(), "told".into()];
     for vm in &fleet.vms {
-        words.extend(["--admin".to_owned(), vm.admin_addr.to_string()]);
+        arguments.extend(["--admin".to_owned(), vm.admin_addr.to_string()]);
     }
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let lines = fleet.valetrack(&words).expect("a time line");
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let lines = fleet.valetrack(&arguments).expect("a timeline");
     let events: Vec<&str> = lines.lines().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
     assert_eq!(
         events,
@@ -56,7 +56,7 @@
 #[test_case(b"POST / HTTP/1.1\r\nhost: intake\r\ncontent-length: 99999999\r\n\r\n"; "a body announced too large")]
 #[test_case(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff\xff"; "a broken preface")]
 #[tokio::test]
-async fn bad_input_at_a_door_harms_nobody_else(bytes: &[u8]) {
+async fn invalid_caller_input_leaves_other_calls_served(bytes: &[u8]) {
     let mut fleet = Fleet::start().await;
     fleet.node_flags.push(("call-body-ms", "300"));
     fleet.add_vms("intake", 2).await;
@@ -67,20 +67,20 @@
         stream.write_all(bytes).await.expect("sent");
         let mut answer = Vec::new();
         let ended = timeout(Duration::from_secs(5), stream.read_to_end(&mut answer));
-        // Either a numbered answer or a closed connection; keep-alive is closed by this side.
+        // The node sends a numbered answer or closes the connection. A connection kept alive is closed by this side.
         if ended.await.is_err() {
             let text = String::from_utf8_lossy(&answer).into_owned();
-            assert!(text.contains("VT2"), "neither closed nor answered: {text:?}");
+            assert!(text.contains("VT2"), "the connection was neither closed nor answered: {text:?}");
         }
         drop(stream);
         let good = fleet.client_at(0).call("GET", "/", &[("valetrack-service", "intake")], "x").await;
         assert_eq!(outcome_of(&good), "ran");
     }
-    wait_for("the count of bad calls", async || fleet.metric(0, "valetrack_bad_calls_total").await >= 20.0).await;
+    wait_for("the bad calls to be counted", async || fleet.metric(0, "valetrack_bad_calls_total").await >= 20.0).await;
 }
 
 #[tokio::test]
-async fn garbage_on_the_link_and_admin_ports_harms_nobody() {
+async fn garbage_on_link_and_admin_ports_leaves_calls_served() {
     let fleet = Fleet::with_intake(2).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let mut rng = fastrand::Rng::with_seed(1);
@@ -101,13 +101,13 @@
 }
 
 #[tokio::test]
-async fn a_node_with_keys_of_another_fleet_is_not_heard() {
+async fn node_with_keys_of_another_fleet_is_refused() {
     let fleet = Fleet::with_intake(2).await;
-    let mut stranger = Fleet::start().await;
-    stranger.list_addr = fleet.list_addr;
-    stranger.store_addr = fleet.store_addr;
-    // The same name, another authority: its links are refused by both ends.
-    stranger.add_vm("stranger-0", "kranj", "intake").await;
+    let mut foreign_fleet = Fleet::start().await;
+    foreign_fleet.list_addr = fleet.list_addr;
+    foreign_fleet.store_addr = fleet.store_addr;
+    // The node has a certificate of another authority, so both ends refuse its links.
+    foreign_fleet.add_vm("stranger-0", "kranj", "intake").await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let body = Client::new(fleet.vms[0].admin_addr).call("GET", "/status", &[], "").await.expect("an answer").body;
     assert!(!String::from_utf8_lossy(&body).contains("stranger"));
