--- a/standin/tests/common/mod.rs
+++ b/standin/tests/common/mod.rs
@@ -218,9 +218,9 @@
         let version =
             self.valetrack(&["bundle", "write", &file, "--operator", "ana", "--store", &store]).expect("written");
         self.valetrack(&["bundle", "approve", &version, "--operator", "bor", "--store", &store]).expect("approved");
-        let rolled = self.valetrack(&["bundle", "roll", &version, "--operator", "ana", "--store", &store, "--json"]);
-        let rolled: Value = serde_json::from_str(&rolled.expect("rolled")).expect("json");
-        rolled["number"].as_u64().expect("a number")
+        let published = self.valetrack(&["bundle", "roll", &version, "--operator", "ana", "--store", &store, "--json"]);
+        let published: Value = serde_json::from_str(&published.expect("published")).expect("json");
+        published["number"].as_u64().expect("a number")
     }
 
     /// Writes the platform's list of VMs, with the named ones marked as leaving.
--- a/standin/tests/crashing_call.rs
+++ b/standin/tests/crashing_call.rs
@@ -1,8 +1,8 @@
 //! Calls that crash the upstreams that run them, on real nodes.
 //!
-//! The tests guard against one request that crashes upstream after upstream. It arrived repeatedly at any node, with the
-//! same path, caller and body under another id each time. Each upstream that began to run it crashed and was away for
-//! some three seconds, with every call that it was running. Thirteen upstreams crashed in a row, and callers of the
+//! The tests guard against one request that crashes upstream after upstream. It arrived repeatedly at any node, with
+//! the same path, caller and body under another id each time. Each upstream that began to run it crashed and was away
+//! for some three seconds, with every call that it was running. Thirteen upstreams crashed in a row, and callers of the
 //! service were refused for half a minute, three times in a day.
 //!
 //! Two upstreams crashed within 0.1 s, since the node that had sent the request to the first one retried it at the
@@ -195,9 +195,9 @@
     fleet.store.roll_back((fleet.store.revision() - revision_before) as usize);
     assert!(fleet.store.keys(crash_prefix).is_empty(), "the copy holds crash records");
     fleet.store.set_mode(standin::managed::store::Mode::Up);
-    let back = Instant::now();
+    let since = Instant::now();
     common::wait_for("the crash records in the store again", async || !fleet.store.keys(crash_prefix).is_empty()).await;
-    assert!(back.elapsed() < REWRITE_MAX, "{:?}", back.elapsed());
+    assert!(since.elapsed() < REWRITE_MAX, "{:?}", since.elapsed());
     // Nodes that start now have only the store as a source of the records.
     assert_refused_after_restart(&mut fleet, path).await;
 }
--- a/standin/tests/evacuation.rs
+++ b/standin/tests/evacuation.rs
@@ -103,9 +103,9 @@
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     fleet.store.compact();
     fleet.store.set_mode(Mode::Up);
-    let back = Instant::now();
+    let since = Instant::now();
     wait_answered_by(&fleet, 1).await;
-    assert!(back.elapsed() < IN_FORCE_MAX, "{:?}", back.elapsed());
+    assert!(since.elapsed() < IN_FORCE_MAX, "{:?}", since.elapsed());
 }
 
 #[tokio::test]
--- a/standin/tests/managed.rs
+++ b/standin/tests/managed.rs
@@ -101,9 +101,9 @@
         assert_eq!(fleet.entries(), 0, "{mode:?}");
         assert_eq!(status(&fleet.call(1, "GET", "/sheet/", &format!("e-{mode:?}")).await), 200);
         fleet.store.set_mode(Mode::Up);
-        let back = std::time::Instant::now();
+        let since = std::time::Instant::now();
         wait_for("the entries", async || fleet.entries() == 2).await;
-        assert!(back.elapsed() < Duration::from_millis(2_200), "{mode:?}: {:?}", back.elapsed());
+        assert!(since.elapsed() < Duration::from_millis(2_200), "{mode:?}: {:?}", since.elapsed());
     }
 }
 
@@ -255,9 +255,9 @@
     fleet.kill_node(0);
     fleet.start_node(0);
     wait_for("readiness", async || fleet.readiness(0).await == 200).await;
-    let back = std::time::Instant::now();
+    let since = std::time::Instant::now();
     wait_for("a served call", async || status(&fleet.call(1, "GET", "/sheet/", "l-1").await) == 200).await;
-    assert!(back.elapsed() < Duration::from_millis(4_500), "{:?}", back.elapsed());
+    assert!(since.elapsed() < Duration::from_millis(4_500), "{:?}", since.elapsed());
 }
 
 #[tokio::test]
--- a/standin/tests/planned_change.rs
+++ b/standin/tests/planned_change.rs
@@ -287,16 +287,16 @@
     let elapsed_s = began.elapsed().as_secs_f64();
     for (at, bytes_before) in bytes_before.into_iter().enumerate() {
         let bytes = fleet.metric(at, "valetrack_measure_bytes_total").await - bytes_before;
-        let allowed_max = 2_048.0 * elapsed_s + 2_048.0;
-        println!("node {at}: {bytes} bytes of {allowed_max:.0}");
-        assert!(bytes <= allowed_max);
+        let budget = 2_048.0 * elapsed_s + 2_048.0;
+        println!("node {at}: {bytes} bytes of {budget:.0}");
+        assert!(bytes <= budget);
     }
     let after = store_counts(&fleet).await;
     println!("store calls before {before:?} and after {after:?}");
     // At most fifty writes and fifty reads per second and node, plus their burst.
-    let allowed_max = 4.0 * (50.0 * elapsed_s + 50.0);
+    let budget = 4.0 * (50.0 * elapsed_s + 50.0);
     for kind in ["reads", "writes"] {
-        assert!((after[kind] - before[kind]) as f64 <= allowed_max, "{kind}");
+        assert!((after[kind] - before[kind]) as f64 <= budget, "{kind}");
     }
     assert!(after["writes"] > before["writes"], "no claims were written");
     assert!(after["watches"] <= 6, "more than two watchers per domain");
--- a/standin/tests/roll_rollback.rs
+++ b/standin/tests/roll_rollback.rs
@@ -105,7 +105,7 @@
     let refused = fleet.valetrack(&["bundle", "roll", &second, "--operator", "ana", "--store", &store]);
     assert!(refused.as_ref().is_err_and(|text| text.contains("VT506")), "{refused:?}");
     fleet.valetrack(&["bundle", "approve", &second, "--operator", "bor", "--store", &store]).expect("approved again");
-    fleet.valetrack(&["bundle", "roll", &second, "--operator", "ana", "--store", &store]).expect("rolled");
+    fleet.valetrack(&["bundle", "roll", &second, "--operator", "ana", "--store", &store]).expect("published");
     for at in 0..VMS {
         wait_for("number 3", async || fleet.bundle_number(at).await == 3).await;
     }
@@ -163,7 +163,7 @@
     fleet.signal(0, "-CONT");
     let (store, admin) = (fleet.store_addr.to_string(), fleet.vms[0].admin_addr.to_string());
     let arguments = ["bundle", "roll", &version, "--operator", "ana", "--store", &store, "--admin", &admin, "--json"];
-    let published: Value = serde_json::from_str(&fleet.valetrack(&arguments).expect("rolled")).expect("json");
+    let published: Value = serde_json::from_str(&fleet.valetrack(&arguments).expect("published")).expect("json");
     assert_eq!((&published["nodes_served"], &published["number"]), (&Value::from(2), &Value::from(3)));
     assert_eq!(
         status(&fleet, 0).await["bundle_version"],
--- a/standin/tests/store_rollback.rs
+++ b/standin/tests/store_rollback.rs
@@ -94,9 +94,9 @@
 }
 
 /// Waits until all entries are in the store, and checks the time since the store's return.
-async fn assert_entries_back_since(fleet: &Fleet, back: Instant) {
+async fn assert_entries_back_since(fleet: &Fleet, since: Instant) {
     wait_for("all entries", async || fleet.entries() == fleet.vms.len()).await;
-    assert!(back.elapsed() < ENTRIES_BACK_MAX, "entries are back after {:?}", back.elapsed());
+    assert!(since.elapsed() < ENTRIES_BACK_MAX, "entries are back after {:?}", since.elapsed());
 }
 
 #[test_case(5, false; "a copy that lacks some changes")]
@@ -114,22 +114,22 @@
         fleet.store.lapse();
     }
     fleet.store.set_mode(Mode::Up);
-    let back = Instant::now();
+    let since = Instant::now();
     // The operator writes the lost configurations again late, the earlier versions first.
     let mut rewritten = false;
     let mut calls = 0;
-    while back.elapsed() < Duration::from_millis(3_500) {
+    while since.elapsed() < Duration::from_millis(3_500) {
         let service = fleet.served_by(calls % 4, "/sheet/").await;
-        assert_eq!(service, Some("ledger"), "after {:?}", back.elapsed());
+        assert_eq!(service, Some("ledger"), "after {:?}", since.elapsed());
         calls += 1;
-        if !rewritten && back.elapsed() > Duration::from_millis(1_200) {
+        if !rewritten && since.elapsed() > Duration::from_millis(1_200) {
             for version in 7..4 + INITIAL_CONFIGS {
                 fleet.store.put("op/config", &config(version, "rounds"));
             }
             rewritten = true;
         }
         if fleet.entries() < 4 {
-            assert!(back.elapsed() < ENTRIES_BACK_MAX, "{} of 4 entries after {:?}", fleet.entries(), back.elapsed());
+            assert!(since.elapsed() < ENTRIES_BACK_MAX, "{} of 4 entries after {:?}", fleet.entries(), since.elapsed());
         }
     }
     assert!(calls > 100, "{calls}");
@@ -150,15 +150,15 @@
         tokio::time::sleep(Duration::from_millis(30)).await;
         fleet.store.roll_back(200);
         fleet.store.set_mode(Mode::Up);
-        let back = Instant::now();
-        wait_for("the entries to go", async || fleet.entries() < 4 || back.elapsed() > Duration::from_millis(100))
+        let since = Instant::now();
+        wait_for("the entries to go", async || fleet.entries() < 4 || since.elapsed() > Duration::from_millis(100))
             .await;
         // Nodes renew their leases every two seconds, and the first renewal shows them the rollback.
         wait_for("all entries", async || fleet.entries() == 4).await;
         assert!(
-            back.elapsed() < ENTRIES_BACK_MAX + RENEWAL_INTERVAL_MAX,
+            since.elapsed() < ENTRIES_BACK_MAX + RENEWAL_INTERVAL_MAX,
             "entries are back after {:?}",
-            back.elapsed()
+            since.elapsed()
         );
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
@@ -201,14 +201,14 @@
     for vm in &fleet.vms[1..] {
         vm.store_access.set(Mode::Up);
     }
-    let back = Instant::now();
+    let since = Instant::now();
     // No call is sent, since calls also make nodes exchange the version.
     for at in 1..4 {
         wait_for("the version that the store has lost", async || version_at(&fleet, at).await == 4 + INITIAL_CONFIGS)
             .await;
     }
     // A pending request to the silent store ends after up to three seconds, and the node's time limit starts then.
-    assert!(back.elapsed() < FAULT_FREE_MIN + IN_FORCE_MAX, "{:?}", back.elapsed());
+    assert!(since.elapsed() < FAULT_FREE_MIN + IN_FORCE_MAX, "{:?}", since.elapsed());
 }
 
 #[tokio::test]
@@ -279,15 +279,15 @@
     .await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     roll_back_store(&fleet, 1).await;
-    let back = Instant::now();
+    let since = Instant::now();
     let mut calls = 0;
-    while back.elapsed() < Duration::from_millis(3_000) {
+    while since.elapsed() < Duration::from_millis(3_000) {
         calls += 1;
         assert_eq!(
             fleet.answering_vm(calls % 3, &format!("held-{calls}")).await,
             Some(1),
             "after {:?}",
-            back.elapsed()
+            since.elapsed()
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/standin/tests/suspension.rs
+++ b/standin/tests/suspension.rs
@@ -41,9 +41,9 @@
     wait_for("entries to lapse", async || fleet.entries() < 2).await;
     fleet.signal(0, "-USR2");
     fleet.signal(0, "-CONT");
-    let back = Instant::now();
+    let since = Instant::now();
     wait_for("both entries", async || fleet.entries() == 2).await;
-    assert!(back.elapsed() < ENTRY_BACK_MAX, "{:?}", back.elapsed());
+    assert!(since.elapsed() < ENTRY_BACK_MAX, "{:?}", since.elapsed());
     assert_eq!(status(&fleet.call(1, "GET", "/sheet/", "back").await), 200);
 }
 
--- a/standin/tests/upstream_start.rs
+++ b/standin/tests/upstream_start.rs
@@ -80,7 +80,7 @@
     wait_for("a heartbeat", async || upstream.acknowledged() >= acknowledged + 2).await;
     assert_eq!(status(&fleet.call(1, "GET", "/sheet/", "left").await), 503);
     upstream.reborn();
-    let back = Instant::now();
+    let since = Instant::now();
     wait_for("a served call", async || status(&fleet.call(1, "GET", "/sheet/", "back").await) == 200).await;
-    assert!(back.elapsed() < Duration::from_millis(3_500), "{:?}", back.elapsed());
+    assert!(since.elapsed() < Duration::from_millis(3_500), "{:?}", since.elapsed());
 }
