--- a/standin/tests/suspension.rs
+++ b/standin/tests/suspension.rs
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn call_in_flight_at_suspended_entry_runs_once_undenied() {
+async fn in_flight_call_at_suspended_entry_runs_at_most_once() {
     let fleet = Fleet::start(&["rounds", "ledger", "ledger"]).await;
     for vm in &fleet.vms {
         vm.upstream.set_work_ms(300);
