--- a/standin/tests/planned_change.rs
+++ b/standin/tests/planned_change.rs
@@ -231,7 +231,7 @@
 }
 
 #[tokio::test]
-async fn concurrent_publish_succeeds_once_and_reports_conflict() {
+async fn conflicting_publish_fails_for_only_one_operator() {
     let fleet = Fleet::with_intake(2).await;
     let store = fleet.store_addr.to_string();
     let dir = std::env::temp_dir().join(format!("valetrack-race-{}", std::process::id()));
