--- a/valetrack/src/crash/answered.rs
+++ b/valetrack/src/crash/answered.rs
@@ -1,53 +1,53 @@
-//! Which requests were answered here of late: one that upstreams answer does not crash them.
+//! Records which requests were answered here recently: a request that upstreams answer does not crash them.
 //!
-//! Guards a request that is sent often, and so runs on several upstreams at once, when these crash for a
-//! cause of their own, such as a loss of power: without it such a request stands under three crashes at once
-//! (a fleet in virtual time, `crash::tests`).
+//! This protects a request that is sent often, and so runs on several upstreams at once, when these crash for a reason
+//! of their own, such as a power failure. Without it, such a request is a suspect of three crashes at once (reproduced
+//! by a fleet in virtual time in `crash::tests`).
 
 use super::fingerprint::FingerprintKey;
 use crate::link::message::CallHead;
 
-/// Places of the table, a power of two: requests of some seconds at a busy node, in 64 KB.
-const PLACES: usize = 4_096;
-/// For how long an answer speaks for its request, in microseconds: a request that runs on three upstreams at
-/// once is answered many times in it.
-const SPEAKS_US: u64 = 10_000_000;
-/// Longest body that is read for it, in bytes; for requests with a longer one nothing is remembered, since
-/// their body would be read a second time on its usual way.
+/// Slots of the table, a power of two: they hold the requests of some seconds at a busy node, in 64 KB.
+const TABLE_SLOTS: usize = 4_096;
+/// Time for which an answer shows that its request is harmless: a request that runs on three upstreams at once is
+/// answered many times within it.
+const ANSWER_VALID_US: u64 = 10_000_000;
+/// Maximum length of a body that is hashed. Requests with a longer body are not recorded, since that would read the
+/// body a second time for each answer.
 const BODY_MAX_BYTES: usize = 1_024;
 
-/// Fingerprints of answered requests, the latest for each place.
+/// Table of the fingerprints of answered requests, which holds the latest one for each slot.
 #[derive(Debug)]
 pub struct RecentAnswers {
-    /// Fingerprint and moment; a zero moment is an empty place.
-    places: Vec<(u64, u64)>,
+    /// Fingerprint and time of the answer in microseconds; a time of zero marks an empty slot.
+    slots: Vec<(u64, u64)>,
 }
 
 impl Default for RecentAnswers {
     fn default() -> Self {
-        Self { places: vec![(0, 0); PLACES] }
+        Self { slots: vec![(0, 0); TABLE_SLOTS] }
     }
 }
 
 impl RecentAnswers {
-    /// Takes an answer that came at `now_us`.
+    /// Records an answer that was received at `now_us`.
     pub fn answered(&mut self, key: FingerprintKey, head: &CallHead, body: &[u8], now_us: u64) {
         if let Some(fingerprint) = short_fingerprint(key, head, body) {
-            self.places[place(fingerprint)] = (fingerprint, now_us);
+            self.slots[slot(fingerprint)] = (fingerprint, now_us);
         }
     }
 
-    /// Returns whether a request was answered a short time before `now_us`.
+    /// Returns whether a request was answered within [`ANSWER_VALID_US`] before `now_us`.
     pub fn holds(&self, key: FingerprintKey, head: &CallHead, body: &[u8], now_us: u64) -> bool {
         let Some(fingerprint) = short_fingerprint(key, head, body) else {
             return false;
         };
-        let (known, at_us) = self.places[place(fingerprint)];
-        known == fingerprint && at_us > 0 && now_us < at_us + SPEAKS_US
+        let (stored, at_us) = self.slots[slot(fingerprint)];
+        stored == fingerprint && at_us > 0 && now_us < at_us + ANSWER_VALID_US
     }
 }
 
-/// Returns one number for a request whose body is short.
+/// Returns a 64-bit fingerprint of a request; `None` if its body exceeds [`BODY_MAX_BYTES`].
 fn short_fingerprint(key: FingerprintKey, head: &CallHead, body: &[u8]) -> Option<u64> {
     if body.len() > BODY_MAX_BYTES {
         return None;
@@ -56,6 +56,6 @@
     Some(fingerprint.head ^ fingerprint.body.rotate_left(1))
 }
 
-fn place(fingerprint: u64) -> usize {
-    fingerprint as usize % PLACES
+fn slot(fingerprint: u64) -> usize {
+    fingerprint as usize % TABLE_SLOTS
 }
--- a/valetrack/src/crash/archive.rs
+++ b/valetrack/src/crash/archive.rs
@@ -1,4 +1,4 @@
-//! Where crashes last: one value a service in the platform's store, written by compare-and-swap.
+//! Durable storage of crash reports: one value per service in the platform's store, written by compare-and-swap.
 
 use std::sync::Arc;
 
@@ -20,21 +20,21 @@
     key.strip_prefix(CRASH_PREFIX).filter(|service| !service.is_empty())
 }
 
-/// Packs reports into a value.
+/// Serializes reports into a value.
 pub fn pack(reports: &[CrashReport]) -> Result<Vec<u8>, String> {
     serde_json::to_vec(reports).map_err(|error| error.to_string())
 }
 
-/// Reads what [`pack`] has packed.
+/// Deserializes a value that [`pack`] returned.
 ///
 /// # Errors
 ///
-/// Returns why another writer must have written it.
+/// Returns an error if the value has another format.
 pub fn unpack(value: &[u8]) -> Result<Vec<CrashReport>, String> {
     serde_json::from_slice(value).map_err(|error| error.to_string())
 }
 
-/// What an archive holds under a key.
+/// Value of a key in an archive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Archived {
     /// The value.
@@ -43,13 +43,13 @@
     pub position: Position,
 }
 
-/// A store, as far as crashes use it.
+/// Store operations that crash reports need.
 pub trait CrashArchive: Send + Sync {
-    /// Reads a key as it stands; returns its value and the position of its last change, if it exists.
+    /// Returns the current value of a key and the position of its last change, if the key exists.
     fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Archived>, StoreError>>;
 
-    /// Writes a key if the position of its last change is still `expected`, none where it did not exist; returns whether
-    /// it was.
+    /// Writes a key if the position of its last change is still `expected`, where `None` means that the key does not
+    /// exist; returns whether it was written.
     fn write<'a>(
         &'a self,
         key: &'a str,
@@ -58,7 +58,7 @@
     ) -> BoxFuture<'a, Result<bool, StoreError>>;
 }
 
-/// A store without leases as an archive.
+/// An archive in a store without leases.
 pub struct StoreArchive(pub Arc<dyn Store>);
 
 impl CrashArchive for StoreArchive {
@@ -79,7 +79,7 @@
     }
 }
 
-/// A store with leases as an archive; what it holds goes with no lease.
+/// An archive in a store with leases; its keys have no lease.
 pub struct LeasedArchive(pub Arc<dyn LeaseStore>);
 
 impl CrashArchive for LeasedArchive {
@@ -102,8 +102,8 @@
             let Committed::At(at) = self.0.commit(&write).await? else {
                 return Ok(false);
             };
-            // A store that came back older in between may have held something else at that revision; it is read and
-            // joined again.
+            // After a store rollback in between, another value may have been stored at that revision. The caller reads it
+            // again and merges it.
             Ok(expected.is_none_or(|expected| expected.era() == at.era()))
         })
     }
--- a/valetrack/src/crash/detect.rs
+++ b/valetrack/src/crash/detect.rs
@@ -1,60 +1,60 @@
-//! Whether an upstream has crashed, by how its exchanges end.
+//! Detects crashes of an upstream from the ends of its exchanges.
 //!
-//! A connection that breaks says little: answers are lost, servers that are full reset connections. An
-//! upstream that has crashed breaks off every call that it runs and takes no connection any more.
+//! One broken connection is not a sign of a crash: answers are lost, and servers that are full reset connections. An
+//! upstream that has crashed breaks all calls that it runs and accepts no more connections.
 
 use std::collections::{HashMap, VecDeque};
 
-/// For how long a run without an answer may still be under way at the upstream when its caller has left or
-/// its deadline has passed, in microseconds: most upstreams stop when they see the closed connection, and
-/// others run on for as long as usual work takes.
+/// Time for which the upstream may go on with a run whose caller has left or whose deadline has passed: most upstreams
+/// stop when the connection is closed, and others run for as long as usual work takes.
 const LEFT_US: u64 = 1_000_000;
-/// Runs of that kind that are remembered; an upstream runs some tens of calls at once.
+/// Maximum number of such runs that are recorded: an upstream runs some tens of calls at once.
 const LEFT_MAX: usize = 32;
 
 /// How an exchange with the upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeEnd {
-    /// A whole answer came, of whatever kind.
+    /// A complete answer of any kind was received.
     Answered,
-    /// Nobody waits for its answer any more.
+    /// The caller no longer waits for the answer.
     Left,
-    /// The connection broke before an answer.
+    /// The connection broke before a complete answer.
     Broken,
-    /// The upstream took no connection, so nothing was sent.
+    /// The upstream accepted no connection, so nothing was sent.
     Refused,
 }
 
-/// How an upstream that is down shows it.
+/// How an upstream that is down reacts to connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Down {
-    /// Its port is closed, so a connection that is taken shows that it is back.
+    /// Its port is closed, so an accepted connection shows that it is up again.
     Closed,
-    /// Whoever listens for it closes each connection without a word, so only an answer shows that.
+    /// A listener in front of it accepts each connection and closes it without an answer, so only an answer shows that
+    /// it is up again.
     Resets,
 }
 
-/// A call that an upstream was running, by whatever it is known by.
+/// A run whose caller has left.
 #[derive(Debug, Clone)]
-struct Left<C> {
+struct AbandonedRun<C> {
     call: C,
     at_us: u64,
 }
 
-/// The exchanges of one upstream, judged for a crash.
+/// Tracks the exchanges of one upstream and detects its crashes.
 ///
-/// `C` is what a call is remembered by.
+/// `C` identifies a call.
 #[derive(Debug)]
 pub struct CrashDetector<C> {
-    /// Exchanges in progress, with their numbers.
+    /// Exchanges in progress, by their numbers.
     running: HashMap<u64, C>,
-    /// Number of the latest exchange that had begun when the first connection broke.
+    /// Number of the latest exchange that had begun before the first connection broke.
     broke_after: Option<u64>,
-    /// Calls whose connections have broken since the upstream last gave a sign of life.
+    /// Calls whose connections have broken since the upstream last answered or accepted a probe.
     broken: Vec<C>,
-    /// Runs that were left without an answer of late.
-    left: VecDeque<Left<C>>,
-    /// How it is down since the crash that was reported last, if it has not come back.
+    /// Recent runs whose callers have left.
+    left: VecDeque<AbandonedRun<C>>,
+    /// How the upstream is down since the last reported crash; `None` if it is up.
     down: Option<Down>,
     /// Number of the latest exchange that had begun when that crash was reported.
     crashed_after: u64,
@@ -76,15 +76,14 @@
 }
 
 impl<C: Clone> CrashDetector<C> {
-    /// Takes the start of an exchange; returns its number.
+    /// Records the start of an exchange; returns its number.
     pub fn began(&mut self, call: C) -> u64 {
         self.next += 1;
         self.running.insert(self.next, call);
         self.next
     }
 
-    /// Takes the end of an exchange; returns whether it may be the sign of a crash, so that the upstream is
-    /// to be tried.
+    /// Records the end of an exchange; returns whether the upstream may have crashed, so that it has to be probed.
     pub fn ended(&mut self, number: u64, end: ExchangeEnd, now_us: u64) -> bool {
         let call = self.running.remove(&number);
         match (end, call) {
@@ -93,12 +92,12 @@
                 false
             }
             (ExchangeEnd::Left, Some(call)) => {
-                self.left.push_back(Left { call, at_us: now_us });
-                self.forget_left(now_us);
+                self.left.push_back(AbandonedRun { call, at_us: now_us });
+                self.drop_expired(now_us);
                 false
             }
             (ExchangeEnd::Broken, Some(call)) => {
-                // It was sent on a connection that the upstream took after its crash.
+                // The upstream has accepted this connection after its crash, so it was up.
                 if self.down == Some(Down::Closed) && number > self.crashed_after {
                     self.alive();
                 }
@@ -111,26 +110,26 @@
         }
     }
 
-    /// Takes a sign of life: whatever broke before has another cause.
+    /// Records that the upstream is up: connections that broke before have another cause than a crash.
     pub fn alive(&mut self) {
         self.stands();
         self.down = None;
     }
 
-    /// Returns whether exchanges go on that had begun before the first connection broke.
+    /// Returns whether exchanges that had begun before the first connection broke are still in progress.
     ///
-    /// Those that have begun since are about to find the port closed themselves.
+    /// Later ones don't count: they are about to find the port closed.
     pub fn goes_on(&self) -> bool {
         self.broke_after.is_some_and(|last| self.running.keys().any(|number| *number <= last))
     }
 
-    /// Returns the calls that may have crashed the upstream, now that it was tried and found down; none where
-    /// some of its exchanges go on, or the crash was reported before.
+    /// Returns the calls that may have crashed the upstream, after a probe found it down. The result is empty if some of
+    /// its exchanges are still in progress, or if the crash was reported before.
     pub fn crashed(&mut self, down: Down, now_us: u64) -> Vec<C> {
         if self.down.is_some() || self.goes_on() {
             return Vec::new();
         }
-        self.forget_left(now_us);
+        self.drop_expired(now_us);
         self.broke_after = None;
         let mut suspects = std::mem::take(&mut self.broken);
         suspects.extend(self.left.drain(..).map(|left| left.call));
@@ -141,15 +140,15 @@
         suspects
     }
 
-    /// Takes that the upstream takes connections, so that it has not crashed.
+    /// Records that the upstream accepts connections, so that it has not crashed.
     pub fn stands(&mut self) {
         self.broke_after = None;
         self.broken.clear();
     }
 
-    fn forget_left(&mut self, now_us: u64) {
-        let over = |left: &Left<C>| left.at_us + LEFT_US <= now_us;
-        while self.left.len() > LEFT_MAX || self.left.front().is_some_and(over) {
+    fn drop_expired(&mut self, now_us: u64) {
+        let expired = |left: &AbandonedRun<C>| left.at_us + LEFT_US <= now_us;
+        while self.left.len() > LEFT_MAX || self.left.front().is_some_and(expired) {
             self.left.pop_front();
         }
     }
--- a/valetrack/src/crash/fingerprint.rs
+++ b/valetrack/src/crash/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints of calls: the same request has the same fingerprint under any call id, at any node.
+//! Fingerprints of calls: a request has the same fingerprint under any call id and at any node.
 
 use std::hash::Hasher;
 
@@ -8,17 +8,17 @@
 
 use crate::link::message::CallHead;
 
-/// Headers that tell callers apart: whose request it is decides what it does to an upstream.
+/// Headers that identify the caller: the effect of a request on an upstream depends on its caller.
 const CALLER_HEADERS: &[&str] = &["authorization", "x-api-key"];
-/// Header with the name that the caller reached the service by; routes of other names are other requests.
+/// Header with the name under which the caller reached the service; the same path under another name is another request.
 const HOST_HEADER: &str = "host";
 
-/// Secret that fingerprints are made with, so that nobody outside the fleet can make two requests collide.
+/// Secret key of fingerprints, which prevents clients from constructing requests that collide.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FingerprintKey(u64, u64);
 
 impl FingerprintKey {
-    /// Draws a key; none where the system has no randomness to give.
+    /// Returns a random key; `None` if the system returns no random bytes.
     pub fn draw() -> Option<Self> {
         let mut bytes = [0; 16];
         SystemRandom::new().fill(&mut bytes).ok()?;
@@ -26,7 +26,7 @@
         Some(Self(low, high))
     }
 
-    /// Makes a key that is no secret, for tests and models.
+    /// Creates a key that is not secret, for tests and models.
     pub const fn of_parts(low: u64, high: u64) -> Self {
         Self(low, high)
     }
@@ -35,14 +35,14 @@
         SipHasher13::new_with_keys(self.0, self.1)
     }
 
-    /// Returns the fingerprint of all of a request but its body, whose length alone is part of it.
+    /// Returns the fingerprint of a request without its body; it includes the length of the body.
     ///
-    /// It is what most calls are told apart by, so that the body of a call need not be read again unless a
-    /// request with the same head has crashed an upstream.
+    /// It is enough to distinguish most calls, so the body of a call is only read again if a request with the same head
+    /// has crashed an upstream.
     pub fn head_fingerprint(self, head: &CallHead) -> u64 {
         let mut hasher = self.hasher();
         let mut add = |part: &[u8]| {
-            // Lengths keep the parts of two requests from running into each other.
+            // The length prefix keeps requests apart whose parts are the same when concatenated.
             hasher.write_usize(part.len());
             hasher.write(part);
         };
@@ -74,10 +74,10 @@
     }
 }
 
-/// What a request is known by under one key.
+/// Fingerprint of a request under one key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
-    /// Fingerprint of all but the body.
+    /// Fingerprint of the request without its body.
     pub head: u64,
     /// Fingerprint of the body.
     pub body: u64,
--- a/valetrack/src/crash/history.rs
+++ b/valetrack/src/crash/history.rs
@@ -1,4 +1,4 @@
-//! Pure state: the crashes that a node knows of, and what they say of a call.
+//! Pure state: the crash reports that a node has a record of, and the status of a call that follows from them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -7,46 +7,46 @@
 use super::message::{CrashId, CrashReport, CrashedCall, Suspect, SuspectRef};
 use crate::link::message::CallHead;
 
-/// Crashes under a call after which it is kept from upstreams. One is bad luck: whatever ran beside the
-/// cause is a suspect as well. After two few are left, and one more decides, since no two suspects run on
-/// one upstream. The users' platform allows three.
+/// Crashes under a call after which it is kept from upstreams. After one crash, all calls that ran beside the cause are
+/// suspects as well. After two, few suspects are left, and the third crash identifies the cause, since no two suspects
+/// run on one upstream. The users' platform allows three.
 pub const CRASHES_MAX: usize = 3;
-/// How often a call that is kept from upstreams is tried again, in all. The users' platform allows three
-/// sends for good; one is left for a call that was on its way when the third crash was told.
+/// Trials of a call that is kept from upstreams, in total. The users' platform allows three sends of such a call in total; one
+/// is left for a call that was in flight when the third crash was reported.
 pub const TRIALS_MAX: u8 = 2;
-/// Pause before the first trial and before the second one, in microseconds: a crash takes an upstream away
-/// for seconds and costs the calls that run, and servers are repaired within minutes or by the next release.
+/// Pause before the first trial and before the second one. A crash makes an upstream unavailable for seconds and costs
+/// the calls that it runs; servers are repaired within minutes or by the next release.
 pub const TRIAL_PAUSES_US: [u64; TRIALS_MAX as usize] = [600_000_000, 3_600_000_000];
-/// Most crashes that are remembered: at some 100 bytes each well below a megabyte, and hundreds of requests
-/// that crash upstreams at the same time.
+/// Maximum number of recorded crashes: with some 100 bytes each, they take well below a megabyte, and they cover
+/// hundreds of requests that crash upstreams at the same time.
 pub const HISTORY_MAX: usize = 1_024;
-/// Most crashes of one service that last in the store: some 40 KB of the megabyte that a value may have.
+/// Maximum number of crashes that are stored for one service: some 40 KB of the megabyte that a value may have.
 pub const ARCHIVE_MAX: usize = 192;
 
-/// A report with what only this node knows of it.
+/// A report with the local data of this node.
 #[derive(Debug, Clone)]
-struct Known {
+struct Record {
     report: CrashReport,
-    /// When this node first heard of it, in microseconds.
+    /// Time at which this node first received it.
     since_us: u64,
-    /// When its trials last changed, in microseconds.
+    /// Time at which its trials last changed.
     tried_us: u64,
-    /// Who told it.
+    /// Source of the report: the VM that sent it, this node or the store.
     from: Arc<str>,
 }
 
-/// What is known of one call.
+/// Status of one call.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Standing {
-    /// Where it is a suspect, the earliest crash first.
+    /// Crashes of which it is a suspect, the earliest first.
     pub refs: Vec<SuspectRef>,
-    /// How often it was tried again.
+    /// Number of trials.
     pub trials: u8,
-    /// When this node first heard of one of its crashes, in microseconds.
+    /// Time at which this node received the first of its crashes.
     pub since_us: u64,
-    /// When this node last heard of a crash or a trial of it, in microseconds.
+    /// Time at which this node last received a crash or a trial of it.
     pub latest_us: u64,
-    /// Who told the latest one.
+    /// Source of the latest one.
     pub from: Option<Arc<str>>,
 }
 
@@ -61,106 +61,106 @@
         self.crashes() >= CRASHES_MAX
     }
 
-    /// Returns when it is to be tried again, in microseconds; none when it was tried often enough.
+    /// Returns the time of the next trial; `None` if all trials were used.
     pub fn trial_due_us(&self) -> Option<u64> {
         let pause_us = TRIAL_PAUSES_US.get(usize::from(self.trials))?;
         Some(self.latest_us + pause_us)
     }
 }
 
-/// The crashes that a node knows of.
+/// Crash reports that a node has a record of.
 #[derive(Debug, Clone, Default)]
 pub struct CrashHistory {
-    known: BTreeMap<CrashId, Known>,
+    records: BTreeMap<CrashId, Record>,
     /// Suspects that are not cleared, by key and fingerprint of the head.
     index: HashMap<FingerprintKey, HashMap<u64, Vec<SuspectRef>>>,
 }
 
 impl CrashHistory {
-    /// Joins what is told of crashes; returns whether that says more than was known.
+    /// Merges reports into the history; returns whether they added anything.
     pub fn join(&mut self, reports: &[CrashReport], from: &Arc<str>, now_us: u64) -> bool {
         let mut changed = false;
         for report in reports {
             changed |= self.join_one(report, from, now_us);
         }
         if changed {
-            self.shed();
-            self.make_index();
+            self.evict();
+            self.rebuild_index();
         }
         changed
     }
 
     fn join_one(&mut self, report: &CrashReport, from: &Arc<str>, now_us: u64) -> bool {
-        let Some(known) = self.known.get_mut(&report.id) else {
+        let Some(record) = self.records.get_mut(&report.id) else {
             let mut report = report.clone();
             if report.is_over() {
                 report.suspects.clear();
             }
             let id = report.id.clone();
-            self.known.insert(id, Known { report, since_us: now_us, tried_us: now_us, from: from.clone() });
+            self.records.insert(id, Record { report, since_us: now_us, tried_us: now_us, from: from.clone() });
             return true;
         };
         let trials = |report: &CrashReport| report.suspects.iter().map(|suspect| suspect.trials).max();
-        let before = trials(&known.report);
-        let changed = known.report.join(report);
-        if trials(&known.report) > before {
-            known.tried_us = now_us;
+        let before = trials(&record.report);
+        let changed = record.report.join(report);
+        if trials(&record.report) > before {
+            record.tried_us = now_us;
         }
         changed
     }
 
-    /// Forgets crashes over the bound: first those that no call is held against, then the oldest.
-    fn shed(&mut self) {
-        while self.known.len() > HISTORY_MAX {
-            let over = self.known.iter().find(|(_, known)| known.report.is_over()).map(|(id, _)| id.clone());
-            let Some(id) = over.or_else(|| self.known.keys().next().cloned()) else {
+    /// Removes crashes above [`HISTORY_MAX`]: first those without suspects, then the oldest.
+    fn evict(&mut self) {
+        while self.records.len() > HISTORY_MAX {
+            let over = self.records.iter().find(|(_, record)| record.report.is_over()).map(|(id, _)| id.clone());
+            let Some(id) = over.or_else(|| self.records.keys().next().cloned()) else {
                 return;
             };
-            self.known.remove(&id);
+            self.records.remove(&id);
         }
     }
 
-    fn make_index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.index.clear();
-        for (id, known) in &self.known {
-            for suspect in known.report.suspects.iter().filter(|suspect| !suspect.cleared) {
-                let by_head = self.index.entry(known.report.key).or_default();
+        for (id, record) in &self.records {
+            for suspect in record.report.suspects.iter().filter(|suspect| !suspect.cleared) {
+                let by_head = self.index.entry(record.report.key).or_default();
                 let suspect_ref = SuspectRef { crash: id.clone(), fingerprint: suspect.fingerprint };
                 by_head.entry(suspect.fingerprint.head).or_default().push(suspect_ref);
             }
         }
     }
 
-    /// Returns how many crashes are remembered.
+    /// Returns the number of recorded crashes.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.records.len()
     }
 
-    /// Returns whether no crash is remembered.
+    /// Returns whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.records.is_empty()
     }
 
-    /// Returns whether anything is held against any call.
+    /// Returns whether any call is a suspect.
     pub fn has_suspects(&self) -> bool {
         !self.index.is_empty()
     }
 
-    /// Returns how many suspects stand in the history.
+    /// Returns the number of suspects that are not cleared, summed over all crashes.
     pub fn suspects(&self) -> usize {
         self.index.values().flat_map(HashMap::values).map(Vec::len).sum()
     }
 
-    /// Returns the key that the next report is to be made with: that of the earliest crash, so that one
-    /// request has one fingerprint throughout a fleet, or `own` where there is none.
+    /// Returns the key for the fingerprints of the next report: the key of the earliest crash that has suspects, so that
+    /// a request has the same fingerprint in the whole fleet, or `own` if there is no such crash.
     pub fn key_for_report(&self, own: FingerprintKey) -> FingerprintKey {
-        self.known.values().find(|known| !known.report.is_over()).map_or(own, |known| known.report.key)
+        self.records.values().find(|record| !record.report.is_over()).map_or(own, |record| record.report.key)
     }
 
-    /// Returns what is known of a call.
+    /// Returns the status of a call.
     ///
-    /// Its body is read only where a suspect has the same head. Guards the way of large bodies: see the
-    /// benchmark of fingerprints.
+    /// It reads the body only if a suspect has the same head, so that large bodies stay fast: see the benchmark of
+    /// fingerprints.
     pub fn standing(&self, head: &CallHead, body: &[u8]) -> Standing {
         let mut refs = Vec::new();
         for (key, by_head) in &self.index {
@@ -179,29 +179,29 @@
     fn standing_of(&self, refs: Vec<SuspectRef>) -> Standing {
         let mut standing = Standing { since_us: u64::MAX, ..Standing::default() };
         for suspect_ref in &refs {
-            let Some(known) = self.known.get(&suspect_ref.crash) else {
+            let Some(record) = self.records.get(&suspect_ref.crash) else {
                 continue;
             };
-            let suspect = known.report.suspects.iter().find(|suspect| suspect.fingerprint == suspect_ref.fingerprint);
+            let suspect = record.report.suspects.iter().find(|suspect| suspect.fingerprint == suspect_ref.fingerprint);
             standing.trials += suspect.map_or(0, |suspect| suspect.trials);
-            standing.since_us = standing.since_us.min(known.since_us);
-            if known.since_us.max(known.tried_us) >= standing.latest_us {
-                standing.latest_us = known.since_us.max(known.tried_us);
-                standing.from = Some(known.from.clone());
+            standing.since_us = standing.since_us.min(record.since_us);
+            if record.since_us.max(record.tried_us) >= standing.latest_us {
+                standing.latest_us = record.since_us.max(record.tried_us);
+                standing.from = Some(record.from.clone());
             }
         }
         Standing { refs, ..standing }
     }
 
-    /// Clears suspects; returns the reports that changed by it.
+    /// Clears suspects; returns the reports that it changed.
     pub fn clear(&mut self, refs: &[SuspectRef]) -> Vec<CrashReport> {
         self.change(refs, |suspect| suspect.cleared = true)
     }
 
-    /// Counts a trial of a suspect; returns the report that changed by it.
+    /// Counts a trial of a suspect; returns the report that it changed.
     pub fn count_trial(&mut self, suspect_ref: &SuspectRef, now_us: u64) -> Vec<CrashReport> {
-        if let Some(known) = self.known.get_mut(&suspect_ref.crash) {
-            known.tried_us = now_us;
+        if let Some(record) = self.records.get_mut(&suspect_ref.crash) {
+            record.tried_us = now_us;
         }
         self.change(std::slice::from_ref(suspect_ref), |suspect| suspect.trials += 1)
     }
@@ -209,23 +209,23 @@
     fn change(&mut self, refs: &[SuspectRef], change: impl Fn(&mut Suspect)) -> Vec<CrashReport> {
         let mut changed = BTreeMap::new();
         for suspect_ref in refs {
-            let Some(known) = self.known.get_mut(&suspect_ref.crash) else {
+            let Some(record) = self.records.get_mut(&suspect_ref.crash) else {
                 continue;
             };
             let found =
-                known.report.suspects.iter_mut().filter(|suspect| suspect.fingerprint == suspect_ref.fingerprint);
+                record.report.suspects.iter_mut().filter(|suspect| suspect.fingerprint == suspect_ref.fingerprint);
             found.for_each(&change);
-            if known.report.is_over() {
-                known.report.suspects.clear();
+            if record.report.is_over() {
+                record.report.suspects.clear();
             }
-            changed.insert(suspect_ref.crash.clone(), known.report.clone());
+            changed.insert(suspect_ref.crash.clone(), record.report.clone());
         }
-        self.make_index();
+        self.rebuild_index();
         changed.into_values().collect()
     }
 
-    /// Returns who ran beside the cause of a crash, now that it is known: a call that has now crashed too many
-    /// upstreams has caused each of its crashes, and whatever ran beside it has not.
+    /// Returns the suspects to clear after `crash`. A call that reaches [`CRASHES_MAX`] crashes with it is the cause of
+    /// each of them, so the calls that ran beside it in any of them are not.
     pub fn beside_cause(&self, crash: &CrashId, calls: &[CrashedCall]) -> Vec<SuspectRef> {
         let mut causes: Vec<SuspectRef> = Vec::new();
         for call in calls.iter().filter(|call| call.refs.len() + 1 >= CRASHES_MAX) {
@@ -233,27 +233,27 @@
             causes.push(SuspectRef { crash: crash.clone(), fingerprint: call.fingerprint });
         }
         let mut beside = Vec::new();
-        for known in causes.iter().filter_map(|cause| self.known.get(&cause.crash)) {
-            let id = &known.report.id;
-            let suspects = known.report.suspects.iter().filter(|suspect| !suspect.cleared);
+        for record in causes.iter().filter_map(|cause| self.records.get(&cause.crash)) {
+            let id = &record.report.id;
+            let suspects = record.report.suspects.iter().filter(|suspect| !suspect.cleared);
             let refs = suspects.map(|suspect| SuspectRef { crash: id.clone(), fingerprint: suspect.fingerprint });
             beside.extend(refs.filter(|suspect_ref| !causes.contains(suspect_ref)));
         }
         beside
     }
 
-    /// Returns all reports, the earliest first.
+    /// Returns all reports, the earliest crash first.
     pub fn reports(&self) -> impl Iterator<Item = &CrashReport> {
-        self.known.values().map(|known| &known.report)
+        self.records.values().map(|record| &record.report)
     }
 
     /// Returns the report of a crash.
     pub fn report(&self, id: &CrashId) -> Option<&CrashReport> {
-        self.known.get(id).map(|known| &known.report)
+        self.records.get(id).map(|record| &record.report)
     }
 
-    /// Returns the reports of one service that are to last, the latest first: those against which a call
-    /// is held go before those that are over.
+    /// Returns the reports to store for one service: those with suspects before those without, and the latest first
+    /// among each. At most [`ARCHIVE_MAX`] are returned.
     pub fn archive(&self, service: &str) -> Vec<CrashReport> {
         let of_service = self.reports().filter(|report| &*report.service == service);
         let mut reports: Vec<CrashReport> = of_service.cloned().collect();
--- a/valetrack/src/crash/message.rs
+++ b/valetrack/src/crash/message.rs
@@ -1,4 +1,4 @@
-//! Messages of crashes: what is told of one, and what is to be done with a call.
+//! Messages about crashes: reports, jobs for the crash thread, and decisions on calls.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use crate::link::message::CallHead;
 use crate::link::peer::Target;
 
-/// Calls of one report that are told: an upstream runs some tens of calls at once, and whatever is left out
-/// is told by the next crash.
+/// Maximum number of calls in one report: an upstream runs some tens of calls at once, and a cause that is left out is
+/// reported at its next crash.
 pub const SUSPECTS_MAX: usize = 64;
 
-/// A call while an upstream runs it.
+/// A call that an upstream is running.
 #[derive(Debug)]
 pub struct RunningCall {
     /// Its head.
@@ -23,10 +23,10 @@
     pub body: Bytes,
 }
 
-/// Names one crash; unique over all nodes and restarts, later ones are greater.
+/// Identifies one crash: it is unique over all nodes and restarts, and a later crash has a greater one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId {
-    /// Hybrid clock of the node when it saw the crash.
+    /// Hybrid clock of the node at the time when it detected the crash.
     pub hlc: u64,
     /// Name of the VM whose upstream crashed.
     pub vm: Arc<str>,
@@ -37,25 +37,25 @@
 pub struct Suspect {
     /// Its fingerprint under the key of its report.
     pub fingerprint: Fingerprint,
-    /// Whether it is known not to have caused the crash.
+    /// Whether the call was shown not to have caused the crash.
     pub cleared: bool,
-    /// How often it was put to an upstream for trial since it has been kept from them.
+    /// Number of trials on an upstream since the call has been kept from upstreams.
     pub trials: u8,
 }
 
 /// One crash of an upstream, with the calls that may have caused it.
 ///
-/// What is known of one crash only grows: suspects are cleared and tried, and never the other way. So copies
-/// of a report are joined in any order.
+/// A report only grows: suspects become cleared and trials are added, and neither is undone. So copies of a report can
+/// be merged in any order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Which crash.
+    /// Identifier of the crash.
     pub id: CrashId,
     /// Service of the upstream.
     pub service: Arc<str>,
     /// Key of the fingerprints.
     pub key: FingerprintKey,
-    /// The calls; none once all of them are cleared.
+    /// Suspected calls; empty once all of them are cleared.
     pub suspects: Vec<Suspect>,
 }
 
@@ -65,17 +65,17 @@
         self.suspects.iter().all(|suspect| suspect.cleared)
     }
 
-    /// Joins another copy of the same report; returns whether it said more.
+    /// Merges another copy of the same report; returns whether it added anything.
     pub fn join(&mut self, other: &Self) -> bool {
         let before = self.clone();
         if other.is_over() {
             self.suspects.clear();
         }
         for suspect in &mut self.suspects {
-            let told = other.suspects.iter().find(|told| told.fingerprint == suspect.fingerprint);
-            if let Some(told) = told {
-                suspect.cleared |= told.cleared;
-                suspect.trials = suspect.trials.max(told.trials);
+            let copy = other.suspects.iter().find(|copy| copy.fingerprint == suspect.fingerprint);
+            if let Some(copy) = copy {
+                suspect.cleared |= copy.cleared;
+                suspect.trials = suspect.trials.max(copy.trials);
             }
         }
         if self.is_over() {
@@ -88,28 +88,27 @@
 /// One suspect in one report.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SuspectRef {
-    /// The crash.
+    /// Crash of the report.
     pub crash: CrashId,
-    /// The suspect's fingerprint there.
+    /// Fingerprint of the suspect in that report.
     pub fingerprint: Fingerprint,
 }
 
-/// What is to be done with a call before it is put to an upstream.
+/// Decision on a call before it is sent to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Nothing speaks against it.
+    /// The call is not a suspect.
     Clear,
-    /// It may have crashed an upstream: no second such call runs beside it, so that a crash tells which of
-    /// them it was.
+    /// The call may have crashed an upstream: no second suspect runs beside it, so that a crash identifies the cause.
     Alone,
-    /// It is kept from upstreams, and this time it is tried whether it still crashes them; it runs as one of the
-    /// former.
+    /// The call is kept from upstreams, but runs once as a trial of whether it still crashes them. It runs like
+    /// [`Alone`](Self::Alone), beside no other suspect.
     Trial,
-    /// It has crashed upstreams too often and is kept from them.
+    /// The call has crashed upstreams too often and is kept from them.
     Refused,
 }
 
-/// Something for the thread of crashes.
+/// Job for the crash thread.
 #[derive(Debug)]
 pub enum CrashJob {
     /// The upstream beside this node has crashed while it ran these calls.
@@ -118,40 +117,40 @@
         key: FingerprintKey,
         /// The calls.
         calls: Vec<CrashedCall>,
-        /// Told when the nodes that may run the calls next have heard of it, or could not be reached.
-        told: oneshot::Sender<()>,
+        /// Completes when the report was sent to the nodes that may run the calls next, or failed to reach them.
+        reported: oneshot::Sender<()>,
     },
-    /// A call that was a suspect got a whole answer.
+    /// A call that was a suspect received a complete answer.
     Answered {
-        /// Where it stood.
+        /// Its entries in the reports.
         refs: Vec<SuspectRef>,
     },
-    /// Another node tells of crashes.
+    /// Another node has sent reports.
     Heard {
-        /// Its VM.
+        /// VM of that node.
         from: Arc<str>,
-        /// What it knows.
+        /// The reports.
         reports: Vec<CrashReport>,
     },
-    /// The store holds these reports of one service.
+    /// The store holds a value with reports of one service.
     Stored {
         /// The service.
         service: Arc<str>,
         /// The value.
         value: Vec<u8>,
     },
-    /// The store has come back older: what it held is not to be relied on until it has been read again.
+    /// The store was rolled back: its recorded contents are not valid until it is read again.
     StoreOlder,
-    /// A call that is kept from upstreams is to be put to one for trial.
+    /// Requests a trial of a call that is kept from upstreams.
     Trial {
-        /// Where it stands.
+        /// The call's entry in one report.
         suspect_ref: SuspectRef,
-        /// Told whether the trial was granted.
+        /// Receives whether the trial was granted.
         granted: oneshot::Sender<bool>,
     },
-    /// Another node has just started and knows nothing.
+    /// Requests that all reports are sent to a node that has just started.
     Tell {
-        /// Which.
+        /// That node.
         target: Target,
     },
 }
@@ -161,8 +160,8 @@
 pub struct CrashedCall {
     /// Its fingerprint under the key of the report.
     pub fingerprint: Fingerprint,
-    /// Where it stood before.
+    /// Its entries in earlier reports.
     pub refs: Vec<SuspectRef>,
-    /// Its route, whose services may get it next; empty where routes have none.
+    /// Its route, whose services may receive it next; empty if it has none.
     pub route: Arc<str>,
 }
--- a/valetrack/src/crash/mod.rs
+++ b/valetrack/src/crash/mod.rs
@@ -1,9 +1,10 @@
 //! Calls that crash the upstreams that run them.
 //!
-//! Contract: a call is known by its fingerprint, the same at every node under any id. An upstream that crashes makes
-//! suspects of all calls that it was running; a whole answer clears a call, and no two suspects run on one
-//! upstream at once, so that the next crash tells which it was. A call under which three upstreams have crashed
-//! is refused at once by every node that knows of them, but for a few trials that are counted in the store.
+//! Contract: a call is identified by its fingerprint, which is the same at every node and under any call id. When an
+//! upstream crashes, all calls that it was running become suspects. A complete answer clears a call. No two suspects run
+//! on one upstream at once, so that the next crash identifies the cause. A call under which three upstreams have crashed
+//! is refused at once by every node that has a record of the crashes, except for a few trials that are counted in the
+//! store.
 
 mod answered;
 pub mod archive;
--- a/valetrack/src/crash/quarantine.rs
+++ b/valetrack/src/crash/quarantine.rs
@@ -1,5 +1,5 @@
-//! What the entry and the gate of a node ask of the crashes that it knows: whether a call may go to an
-//! upstream, and what they tell of calls under which theirs has crashed.
+//! Decides for the entry and the gate of a node whether a call may be sent to an upstream, and reports the calls that
+//! the node's upstream was running when it crashed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,19 +19,18 @@
 use crate::link::message::CallHead;
 use crate::metric::Metrics;
 
-/// Longest time for which callers of a crashed upstream wait until others have heard of the crash, in
-/// milliseconds: some ways between failure domains and back, and a handshake. A repeat that overtakes the
-/// news would run beside other suspects.
-const TELL_MS: u64 = 30;
+/// Maximum time for which the callers of a crashed upstream wait until other nodes have received the report: a few round
+/// trips between failure domains and a handshake. A retry that overtakes the report would run beside other suspects.
+const REPORT_WAIT_MS: u64 = 30;
 
-/// Longest time for which a call waits until its trial is counted, in milliseconds: many times what a store
-/// that serves takes. One that is counted later is a trial less.
-const TRIAL_MS: u64 = 200;
+/// Maximum time for which a call waits until its trial is counted: many times the latency of a working store. A trial
+/// that is counted later is used up without a run.
+const TRIAL_WAIT_MS: u64 = 200;
 
-/// One node's view of calls that crash upstreams, on the thread of its calls.
+/// A node's checks against calls that crash upstreams, used by the thread that handles its calls.
 pub struct Quarantine {
     history: watch::Receiver<Arc<CrashHistory>>,
-    /// Key of the fingerprints that this node makes where the history has none; none without randomness.
+    /// Key for fingerprints if the history has none; `None` if the system returned no random bytes.
     key: Option<FingerprintKey>,
     to_crash: Sender<CrashJob>,
     answers: RefCell<RecentAnswers>,
@@ -41,7 +40,7 @@
 }
 
 impl Quarantine {
-    /// Makes a quarantine on the history that the thread of crashes keeps.
+    /// Creates a quarantine that reads the history of the crash thread.
     pub fn new(
         history: watch::Receiver<Arc<CrashHistory>>,
         to_crash: Sender<CrashJob>,
@@ -49,12 +48,12 @@
     ) -> Rc<Self> {
         let key = FingerprintKey::draw();
         if key.is_none() {
-            log::error!("event=crash.no_key reason=\"no randomness\"");
+            log::error!("event=crash.no_key reason=\"the system returned no random bytes\"");
         }
         Rc::new(Self { history, key, to_crash, answers: RefCell::default(), counting: Cell::new(false), metrics })
     }
 
-    /// Returns what is known of a call, if anything is held against any call.
+    /// Returns the status of a call if it is a suspect.
     fn standing(&self, head: &CallHead, body: &[u8]) -> Option<Standing> {
         let history = self.history.borrow();
         if !history.has_suspects() {
@@ -63,21 +62,21 @@
         Some(history.standing(head, body)).filter(|standing| standing.crashes() > 0)
     }
 
-    /// Returns whether an entry is to refuse a call at once, since no owner would run it.
+    /// Returns whether the entry has to refuse a call at once, because no owner would run it.
     pub fn refuses(&self, head: &CallHead, body: &[u8]) -> bool {
         let Some(standing) = self.standing(head, body).filter(Standing::is_refused) else {
             return false;
         };
         if standing.trial_due_us().is_some_and(|due_us| now_us() >= due_us) {
-            // An owner decides on trials.
+            // The owner decides on trials.
             return false;
         }
-        self.note_refused(head, &standing, "entry");
+        self.record_refused(head, &standing, "entry");
         true
     }
 
-    /// Returns whether an owner may put a call to its upstream. One that is due for a trial waits until that is
-    /// counted in the store, for [`TRIAL_MS`] at most.
+    /// Returns whether an owner may send a call to its upstream. If a trial is due, it waits until the trial is counted in
+    /// the store, for at most [`TRIAL_WAIT_MS`].
     pub async fn admit(&self, head: &CallHead, body: &[u8]) -> Admission {
         let Some(standing) = self.standing(head, body) else {
             return Admission::Clear;
@@ -97,12 +96,12 @@
             );
             return Admission::Trial;
         }
-        self.note_refused(head, &standing, "owner");
+        self.record_refused(head, &standing, "owner");
         Admission::Refused
     }
 
-    /// Returns whether a call that was admitted is not to be run after all: it has waited for a slot, and crashes
-    /// were told meanwhile.
+    /// Returns whether an admitted call must not run after all, because crashes were reported while it waited for a
+    /// slot.
     pub fn forbids(&self, admission: Admission, call: &RunningCall) -> bool {
         let standing = match admission {
             Admission::Trial => None,
@@ -111,23 +110,23 @@
         let Some(standing) = standing.filter(Standing::is_refused) else {
             return false;
         };
-        self.note_refused(&call.head, &standing, "owner");
+        self.record_refused(&call.head, &standing, "owner");
         true
     }
 
-    /// Has a trial of a call counted; returns whether it was, which no other node is told.
+    /// Requests a trial of a call from the crash thread; returns whether it was counted, which is true on one node only.
     async fn count_trial(&self, suspect_ref: &SuspectRef) -> bool {
         if self.counting.replace(true) {
             return false;
         }
         let (granted, answer) = oneshot::channel();
         let sent = self.to_crash.send(CrashJob::Trial { suspect_ref: suspect_ref.clone(), granted }).await;
-        let answer = timeout(Duration::from_millis(TRIAL_MS), answer).await;
+        let answer = timeout(Duration::from_millis(TRIAL_WAIT_MS), answer).await;
         self.counting.set(false);
         sent.is_ok() && matches!(answer, Ok(Ok(true)))
     }
 
-    fn note_refused(&self, head: &CallHead, standing: &Standing, by: &str) {
+    fn record_refused(&self, head: &CallHead, standing: &Standing, by: &str) {
         self.metrics.quarantined_calls.with_label_values(&[&*head.service, by]).inc();
         let fingerprint = standing.refs.first().map(|suspect_ref| suspect_ref.fingerprint);
         log::warn!(
@@ -142,20 +141,20 @@
         );
     }
 
-    /// Takes a whole answer to a call: whatever it was suspected of, it has not crashed this upstream.
+    /// Records a complete answer to a call, and clears the call if it is a suspect: it has not crashed this upstream.
     pub fn answered(&self, head: &CallHead, body: &[u8]) {
         if let Some(key) = self.key {
             self.answers.borrow_mut().answered(key, head, body, now_us());
         }
         if let Some(standing) = self.standing(head, body) {
             log::info!("event=crash.cleared call={} crashes={}", head.call_id, standing.crashes());
-            // A full ring is no loss: the call's next answer clears it.
+            // If the queue is full, the next answer to the call clears it.
             let _ = self.to_crash.try_send(CrashJob::Answered { refs: standing.refs });
         }
     }
 
-    /// Reports that the upstream has crashed while it ran these calls, and waits until the nodes that may run
-    /// them next have heard of it, for [`TELL_MS`] at most.
+    /// Reports that the upstream has crashed while it ran these calls, and waits until the report was sent to the nodes
+    /// that may run them next, for at most [`REPORT_WAIT_MS`].
     pub async fn report(&self, running: &[Rc<RunningCall>]) {
         let Some(own) = self.key else {
             return;
@@ -168,7 +167,7 @@
                 continue;
             }
             let fingerprint = key.fingerprint(head, body);
-            if calls.iter().all(|known| known.fingerprint != fingerprint) {
+            if calls.iter().all(|other| other.fingerprint != fingerprint) {
                 let refs = self.standing(head, body).map_or_else(Vec::new, |standing| standing.refs);
                 calls.push(CrashedCall { fingerprint, refs, route: head.route.clone() });
             }
@@ -181,10 +180,10 @@
             let crashes = call.refs.len() + 1;
             log::warn!("event=crash.suspect fingerprint={} crashes={crashes} limit={CRASHES_MAX}", call.fingerprint);
         }
-        let (told, heard) = oneshot::channel();
-        if self.to_crash.send(CrashJob::Crashed { key, calls, told }).await.is_ok() {
-            // Whoever has not heard in time is told by the store.
-            let _ = timeout(Duration::from_millis(TELL_MS), heard).await;
+        let (reported, all_reported) = oneshot::channel();
+        if self.to_crash.send(CrashJob::Crashed { key, calls, reported }).await.is_ok() {
+            // Nodes that were not reached by then read the report from the store.
+            let _ = timeout(Duration::from_millis(REPORT_WAIT_MS), all_reported).await;
         }
     }
 }
--- a/valetrack/src/crash/run.rs
+++ b/valetrack/src/crash/run.rs
@@ -1,4 +1,4 @@
-//! The thread of crashes: keeps the history, spreads what is new, and has it last in the store.
+//! The crash thread: keeps the crash history, sends changes to other nodes and writes them to the store.
 
 mod keep;
 
@@ -26,40 +26,42 @@
 use crate::metric::Metrics;
 use crate::timeline::log as events;
 
-/// Time limit of one message to another node, in milliseconds: a handshake and its way.
-const SEND_MS: u64 = 500;
-/// Pause before a node that could not be reached is told again, in milliseconds.
-const RESEND_MS: u64 = 1_000;
-/// How often a node is told: a cut shorter than that is bridged, and the store tells it otherwise.
+/// Time limit of one message to another node: long enough for a handshake and a round trip.
+const SEND_TIMEOUT_MS: u64 = 500;
+/// Pause before a message to an unreachable node is sent again.
+const RESEND_PAUSE_MS: u64 = 1_000;
+/// Send attempts for one message: they outlast a short network cut. After a longer one, the node reads the reports
+/// from the store.
 const SENDS_MAX: u32 = 3;
-/// Reports in one message: some tens of kilobytes at most, below the largest head.
-const MESSAGE_MAX: usize = 32;
-/// Who told what this node has seen itself.
+/// Reports in one message: some tens of kilobytes at most, which is below the limit for the head of a frame.
+const REPORTS_PER_MESSAGE_MAX: usize = 32;
+/// Source of the reports that this node has made itself.
 const OWN: &str = "own";
-/// Who told what was read from the store.
+/// Source of the reports that were read from the store.
 const STORE: &str = "store";
 
-/// What the thread of crashes is joined to.
+/// Inputs, outputs and settings of the crash thread.
 pub struct CrashParts {
     /// Name of this VM.
     pub vm: Arc<str>,
-    /// The service of its upstream.
+    /// Service of its upstream.
     pub service: Arc<str>,
-    /// What other threads tell.
+    /// Jobs from other threads.
     pub jobs: Receiver<CrashJob>,
-    /// Ring to the link thread.
+    /// Job queue of the link thread.
     pub to_link: async_channel::Sender<LinkJob>,
-    /// Where the history is published.
+    /// Channel on which the history is published.
     pub history: watch::Sender<Arc<CrashHistory>>,
-    /// Where crashes last.
+    /// Durable storage of the reports.
     pub archive: Arc<dyn CrashArchive>,
-    /// Whether the store is followed elsewhere, which tells what it holds; it is read at the start otherwise.
+    /// Whether another thread follows the store and sends its contents here. Otherwise, this thread reads the store
+    /// once at the start.
     pub store_is_followed: bool,
-    /// The VMs.
+    /// Members of the fleet.
     pub members: watch::Receiver<Arc<Members>>,
-    /// The bundle in force.
+    /// Bundle in force.
     pub bundle: watch::Receiver<Option<Arc<InForce>>>,
-    /// Turns true when the thread is to end.
+    /// Becomes true when the thread has to stop.
     pub closing: watch::Receiver<bool>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
@@ -67,14 +69,14 @@
     pub seed: u64,
 }
 
-/// How soon a node writes what the store lacks.
+/// How soon a node writes the reports that the store lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Unless the node that has seen it does: it has heard of it only.
+    /// After the node that saw the crash had time to write the report: this node has only received it.
     StandIn,
-    /// Together with what comes within a moment: calls that were cleared.
+    /// After a short delay, together with other changes of that time: calls were cleared.
     Soon,
-    /// At once: its upstream has crashed.
+    /// At once, for example after a crash of this node's upstream.
     Now,
 }
 
@@ -83,15 +85,15 @@
     history: RefCell<CrashHistory>,
     own: Arc<str>,
     store: Arc<str>,
-    /// What the store is known to hold, by service.
+    /// Reports that the store held when it was last read or written, by service.
     stored: RefCell<HashMap<Arc<str>, Vec<CrashReport>>>,
-    /// How soon this node is to write what is not stored yet.
+    /// How soon this node writes the reports that are not stored yet.
     urgency: Cell<Urgency>,
     archive_due: Notify,
     rng: RefCell<fastrand::Rng>,
 }
 
-/// Serves until told to close; must run on a local task set.
+/// Runs the crash thread until `closing` becomes true; must run on a local task set.
 pub async fn run(parts: CrashParts) {
     let shell = Rc::new(Shell {
         history: RefCell::default(),
@@ -103,40 +105,40 @@
         rng: RefCell::new(fastrand::Rng::with_seed(parts.seed)),
         parts,
     });
-    let mut duties = Duties::default();
-    duties.spawn(shell.clone().keep_archive());
+    let mut tasks = Duties::default();
+    tasks.spawn(shell.clone().keep_archive());
     if !shell.parts.store_is_followed {
-        duties.spawn(shell.clone().read_at_start());
-        duties.spawn(shell.clone().tell_new_lives());
+        tasks.spawn(shell.clone().read_at_start());
+        tasks.spawn(shell.clone().send_to_new_incarnations());
     }
     let mut closing = shell.parts.closing.clone();
-    while let Some(job) = duties.next_job(&shell.parts.jobs, &mut closing).await {
-        shell.clone().take(job);
+    while let Some(job) = tasks.next_job(&shell.parts.jobs, &mut closing).await {
+        shell.clone().handle_job(job);
     }
-    duties.shutdown().await;
+    tasks.shutdown().await;
 }
 
 impl Shell {
-    fn take(self: Rc<Self>, job: CrashJob) {
+    fn handle_job(self: Rc<Self>, job: CrashJob) {
         match job {
-            CrashJob::Crashed { key, calls, told } => self.crashed(key, &calls, told),
-            CrashJob::Answered { refs } => self.answered(&refs),
-            CrashJob::Heard { from, reports } => self.heard(&reports, &from),
-            CrashJob::Stored { service, value } => self.take_stored(&service, &value),
+            CrashJob::Crashed { key, calls, reported } => self.on_upstream_crashed(key, &calls, reported),
+            CrashJob::Answered { refs } => self.on_suspects_answered(&refs),
+            CrashJob::Heard { from, reports } => self.on_reports_received(&reports, &from),
+            CrashJob::Stored { service, value } => self.apply_stored(&service, &value),
             CrashJob::StoreOlder => self.forget_stored(),
             CrashJob::Trial { suspect_ref, granted } => {
                 tokio::task::spawn_local(async move {
                     let counted = self.count_trial(&suspect_ref).await;
-                    // Whoever asked lives as long as this thread.
+                    // The requester may have timed out; the trial stays counted.
                     let _ = granted.send(counted);
                 });
             }
-            CrashJob::Tell { target } => self.tell_all(target),
+            CrashJob::Tell { target } => self.send_all(target),
         }
     }
 
-    /// Takes a crash of the own upstream, and tells others.
-    fn crashed(self: Rc<Self>, key: FingerprintKey, calls: &[CrashedCall], told: oneshot::Sender<()>) {
+    /// Records a crash of this node's upstream and reports it to other nodes.
+    fn on_upstream_crashed(self: Rc<Self>, key: FingerprintKey, calls: &[CrashedCall], reported: oneshot::Sender<()>) {
         let id = CrashId { hlc: events::stamp(), vm: self.parts.vm.clone() };
         let suspects = calls.iter().take(SUSPECTS_MAX);
         let suspects =
@@ -153,40 +155,40 @@
             changed
         };
         let routes: Vec<Arc<str>> = calls.iter().map(|call| call.route.clone()).collect();
-        let sendings = self.spread_change(changed, &routes);
+        let sends = self.publish_and_send(changed, &routes);
         tokio::task::spawn_local(async move {
-            for sending in sendings {
-                // It ends when the first message was sent, whatever came of that.
-                let _ = sending.await;
+            for first_send in sends {
+                // The result is ready once the first send attempt has ended, whether it succeeded or failed.
+                let _ = first_send.await;
             }
-            // Whoever waits for it does so for a moment only.
-            let _ = told.send(());
+            // The receiver may have timed out.
+            let _ = reported.send(());
         });
     }
 
-    /// Clears a call that was answered. Others hear of it from the store: until then it runs beside no other
-    /// suspect there, which costs it little.
-    fn answered(self: &Rc<Self>, refs: &[SuspectRef]) {
+    /// Clears a call that was answered. Other nodes learn that from the store. Until then, they only run the call
+    /// beside no other suspect, which delays it little.
+    fn on_suspects_answered(self: &Rc<Self>, refs: &[SuspectRef]) {
         let changed = self.history.borrow_mut().clear(refs);
         if changed.is_empty() {
             return;
         }
         if !self.parts.store_is_followed {
-            // Nobody waits for it.
-            drop(self.spread_change(changed, &[]));
+            // No task waits for the sends.
+            drop(self.publish_and_send(changed, &[]));
             return;
         }
         self.publish();
         self.write_within(Urgency::Soon);
     }
 
-    /// Has what is known written to the store, sooner than others of this service do.
+    /// Raises the urgency of the next write to the store to at least `urgency`, and wakes the task that writes.
     fn write_within(&self, urgency: Urgency) {
         self.urgency.set(self.urgency.get().max(urgency));
         self.archive_due.notify_one();
     }
 
-    fn heard(self: &Rc<Self>, reports: &[CrashReport], from: &Arc<str>) {
+    fn on_reports_received(self: &Rc<Self>, reports: &[CrashReport], from: &Arc<str>) {
         if self.history.borrow_mut().join(reports, from, now_us()) {
             log::info!("event=crash.heard from={from} reports={}", reports.len());
             self.publish();
@@ -200,9 +202,10 @@
         self.parts.history.send_replace(Arc::new(history));
     }
 
-    /// Publishes reports that this node has changed, and tells the owners that may run the calls of `routes`
-    /// next, or of those reports' services. Each result ends when one of them was told, or not reached.
-    fn spread_change(self: &Rc<Self>, changed: Vec<CrashReport>, routes: &[Arc<str>]) -> Vec<oneshot::Receiver<()>> {
+    /// Publishes reports that this node has changed, and sends them to the owners of the reports' services and of the
+    /// services that `routes` may lead to. Each receiver completes once the first send to one owner has ended, whether
+    /// it succeeded or failed.
+    fn publish_and_send(self: &Rc<Self>, changed: Vec<CrashReport>, routes: &[Arc<str>]) -> Vec<oneshot::Receiver<()>> {
         if changed.is_empty() {
             return Vec::new();
         }
@@ -210,16 +213,16 @@
         self.write_within(Urgency::Now);
         let services = self.services_of(&changed, routes);
         let changed = Rc::new(changed);
-        let tell = |target| {
+        let spawn_send = |target| {
             let (first, sent) = oneshot::channel();
-            tokio::task::spawn_local(self.clone().tell(target, changed.clone(), Some(first)));
+            tokio::task::spawn_local(self.clone().send_with_retries(target, changed.clone(), Some(first)));
             sent
         };
-        self.owners_of(&services).into_iter().map(tell).collect()
+        self.owners_of(&services).into_iter().map(spawn_send).collect()
     }
 
-    /// Returns the services that a route may lead to, since a split leads the next arrival elsewhere, with
-    /// those of the reports.
+    /// Returns the services of the reports and all services that the routes may lead to: a split may send the next
+    /// call of a route to another service.
     fn services_of(&self, changed: &[CrashReport], routes: &[Arc<str>]) -> Vec<Arc<str>> {
         let mut services: Vec<Arc<str>> = changed.iter().map(|report| report.service.clone()).collect();
         if let Some(in_force) = self.parts.bundle.borrow().as_ref() {
@@ -239,15 +242,15 @@
         owners.map(|member| Target { vm: member.vm.clone(), addr: member.link_addr }).collect()
     }
 
-    fn tell_all(self: Rc<Self>, target: Target) {
+    fn send_all(self: Rc<Self>, target: Target) {
         let reports: Vec<CrashReport> = self.history.borrow().reports().cloned().collect();
         if !reports.is_empty() {
-            tokio::task::spawn_local(self.tell(target, Rc::new(reports), None));
+            tokio::task::spawn_local(self.send_with_retries(target, Rc::new(reports), None));
         }
     }
 
-    /// Tells another node, again where it could not be reached; `first` is dropped after the first time.
-    async fn tell(
+    /// Sends reports to another node, up to [`SENDS_MAX`] times until it replies; drops `first` after the first send.
+    async fn send_with_retries(
         self: Rc<Self>,
         target: Target,
         reports: Rc<Vec<CrashReport>>,
@@ -259,18 +262,18 @@
             if sent {
                 return;
             }
-            sleep(Duration::from_millis(RESEND_MS)).await;
+            sleep(Duration::from_millis(RESEND_PAUSE_MS)).await;
         }
         log::info!("event=crash.untold peer={} reports={}", target.vm, reports.len());
     }
 
-    /// Sends reports to another node; returns whether it has them.
+    /// Sends reports to another node; returns whether it has replied to all messages.
     async fn send(&self, target: &Target, reports: &[CrashReport]) -> bool {
-        for part in reports.chunks(MESSAGE_MAX) {
-            let ask = Ask::Crashes { from: self.parts.vm.clone(), reports: part.to_vec() };
-            let question = Question { ask, body: Bytes::new() };
-            let limit = Duration::from_millis(SEND_MS);
-            let result = peer::ask_within(&self.parts.to_link, target.clone(), question, limit).await;
+        for chunk in reports.chunks(REPORTS_PER_MESSAGE_MAX) {
+            let ask = Ask::Crashes { from: self.parts.vm.clone(), reports: chunk.to_vec() };
+            let request = Question { ask, body: Bytes::new() };
+            let limit = Duration::from_millis(SEND_TIMEOUT_MS);
+            let result = peer::ask_within(&self.parts.to_link, target.clone(), request, limit).await;
             if !matches!(result, LinkResult::Reply(_)) {
                 return false;
             }
@@ -278,21 +281,21 @@
         true
     }
 
-    /// Tells all that is known to each life of a node that has just come; runs as long as the thread.
+    /// Sends all reports to each new incarnation of a node; runs as long as the thread.
     ///
-    /// Only where the store is not followed, which tells them otherwise.
-    async fn tell_new_lives(self: Rc<Self>) {
+    /// It runs only where the store is not followed. Otherwise, new incarnations read the reports from the store.
+    async fn send_to_new_incarnations(self: Rc<Self>) {
         let mut members = self.parts.members.clone();
-        let mut lives: HashMap<Arc<str>, u64> = HashMap::new();
+        let mut incarnations: HashMap<Arc<str>, u64> = HashMap::new();
         while members.changed().await.is_ok() {
             let mut new = Vec::new();
             for member in members.borrow_and_update().iter().filter(|member| member.vm != self.parts.vm) {
-                if lives.insert(member.vm.clone(), member.incarnation) != Some(member.incarnation) {
+                if incarnations.insert(member.vm.clone(), member.incarnation) != Some(member.incarnation) {
                     new.push(Target { vm: member.vm.clone(), addr: member.link_addr });
                 }
             }
             for target in new {
-                self.clone().tell_all(target);
+                self.clone().send_all(target);
             }
         }
     }
--- a/valetrack/src/crash/run/keep.rs
+++ b/valetrack/src/crash/run/keep.rs
@@ -1,5 +1,5 @@
-//! Has crashes last in the store: whatever this node knows of its service stands there within seconds of the
-//! store's answering, whoever saw it.
+//! Writes crash reports to the store: all reports of its service that this node has a record of are stored within
+//! seconds once the store is reachable, whichever node saw the crash.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,19 +14,20 @@
 use crate::crash::message::{CrashReport, SuspectRef};
 use crate::store::{Position, StoreError};
 
-/// Pause before a store that failed is tried again, in milliseconds.
-const RETRY_MS: std::ops::RangeInclusive<u64> = 700..=2_000;
-/// Time that the node which saw a crash has to write it before others of its service do, in milliseconds:
-/// it may be gone, or turned away by the store.
+/// Pause before a failed store call is retried.
+const RETRY_PAUSE_MS: std::ops::RangeInclusive<u64> = 700..=2_000;
+/// Time that the node which saw a crash has to write its report before other nodes of its service write it: that node
+/// may be dead, or rejected by the store.
 const STAND_IN_MS: std::ops::RangeInclusive<u64> = 3_000..=6_000;
-/// Time for which calls that were cleared are gathered, in milliseconds: the calls that ran beside a cause are
-/// answered within a moment of each other, and each write is paid for.
+/// Time for which cleared calls are collected before they are written: the calls that ran beside a cause are answered
+/// shortly after each other, and each write to the store has a cost.
 const GATHER_MS: u64 = 1_000;
-/// Tries of one compare-and-swap: owners of one service write at the same moment when crashes come in a row.
+/// Attempts at one compare-and-swap: the owners of a service write at the same time when several crashes follow each
+/// other.
 const SWAPS_MAX: u32 = 4;
 
 impl Shell {
-    /// Writes what the store lacks; runs as long as the thread.
+    /// Writes the reports that the store lacks; runs as long as the thread.
     pub(super) async fn keep_archive(self: Rc<Self>) {
         loop {
             let service = self.parts.service.clone();
@@ -34,7 +35,7 @@
                 self.archive_due.notified().await;
                 continue;
             }
-            self.let_others_write().await;
+            self.wait_before_write().await;
             self.urgency.set(Urgency::StandIn);
             if !self.lacks(&service) {
                 continue;
@@ -42,14 +43,14 @@
             if let Err(error) = self.save(&service).await {
                 log::warn!("event=crash.unsaved service={service} code={} reason=\"{error}\"", error.code());
                 self.urgency.set(Urgency::Now);
-                let pause_ms = self.rng.borrow_mut().u64(RETRY_MS);
+                let pause_ms = self.rng.borrow_mut().u64(RETRY_PAUSE_MS);
                 sleep(Duration::from_millis(pause_ms)).await;
             }
         }
     }
 
-    /// Waits as long as what is to be written has time.
-    async fn let_others_write(&self) {
+    /// Waits until the write is due by its urgency.
+    async fn wait_before_write(&self) {
         let since_us = now_us();
         let stand_in_ms = self.rng.borrow_mut().u64(STAND_IN_MS);
         loop {
@@ -60,21 +61,21 @@
             };
             let until_us = since_us + pause_ms * 1000;
             let left_us = until_us.saturating_sub(now_us());
-            // Woken by news that are more urgent, it is looked at again.
+            // A change may have raised the urgency, so the pause is computed anew.
             if left_us == 0 || timeout(Duration::from_micros(left_us), self.archive_due.notified()).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Returns whether the store is not known to hold what is known of a service.
+    /// Returns whether the reports to store for a service differ from the last recorded contents of the store.
     fn lacks(&self, service: &Arc<str>) -> bool {
         let archive = self.history.borrow().archive(service);
         let stored = self.stored.borrow();
         stored.get(service).map_or(!archive.is_empty(), |stored| *stored != archive)
     }
 
-    /// Writes what is known of a service, joined with what the store holds.
+    /// Writes the reports of a service, merged with those that the store holds.
     async fn save(&self, service: &Arc<str>) -> Result<(), StoreError> {
         for _ in 0..SWAPS_MAX {
             let position = self.read(service).await?;
@@ -82,20 +83,23 @@
                 return Ok(());
             }
         }
-        Err(StoreError::Refused { reason: format!("{SWAPS_MAX} writes of others in a row") })
+        Err(StoreError::Refused {
+            reason: format!("{SWAPS_MAX} compare-and-swaps in a row failed, because other nodes wrote the key"),
+        })
     }
 
-    /// Reads what the store holds of a service; returns the position of its last change, if it holds anything.
+    /// Reads and applies the stored reports of a service; returns the position of their last change, if there are any.
     async fn read(&self, service: &Arc<str>) -> Result<Option<Position>, StoreError> {
         self.parts.metrics.store_calls.with_label_values(&["crash-read"]).inc();
         let archived = self.parts.archive.read(&crash_key(service)).await?;
         if let Some(archived) = &archived {
-            self.take_stored(service, &archived.value);
+            self.apply_stored(service, &archived.value);
         }
         Ok(archived.map(|archived| archived.position))
     }
 
-    /// Writes what is known of a service over what stood there at `position`; returns whether that still stood.
+    /// Writes the reports of a service if the last change of the stored value is still at `position`; returns whether
+    /// they were written.
     async fn write(&self, service: &Arc<str>, position: Option<Position>) -> Result<bool, StoreError> {
         let reports = self.history.borrow().archive(service);
         let value = archive::pack(&reports).map_err(|reason| StoreError::Invalid { reason })?;
@@ -107,15 +111,15 @@
         Ok(written)
     }
 
-    /// Takes what the store holds of a service.
-    pub(super) fn take_stored(&self, service: &Arc<str>, value: &[u8]) {
+    /// Merges the stored reports of a service into the history.
+    pub(super) fn apply_stored(&self, service: &Arc<str>, value: &[u8]) {
         let reports = match archive::unpack(value) {
             Ok(reports) => reports,
             Err(reason) => {
                 let code = Code::CrashReportInvalid;
                 self.parts.metrics.invalid_input.with_label_values(&[&code.to_string()]).inc();
                 log::warn!("event=crash.stored_invalid service={service} code={code} reason=\"{reason}\"");
-                // This node's own knowledge is to stand there in its place.
+                // An empty list makes this node overwrite the value with its own reports.
                 Vec::new()
             }
         };
@@ -127,23 +131,24 @@
         self.archive_due.notify_one();
     }
 
-    /// Forgets what the store held, since it has come back older; what it lacks is written again.
+    /// Forgets the recorded contents of the store after a store rollback, so that reports which it lost are written
+    /// again.
     pub(super) fn forget_stored(&self) {
         self.stored.borrow_mut().clear();
         self.archive_due.notify_one();
     }
 
-    /// Reads what the store holds of the own service once it answers.
+    /// Reads the stored reports of this node's service, and retries until the store answers.
     pub(super) async fn read_at_start(self: Rc<Self>) {
         let service = self.parts.service.clone();
         while let Err(error) = self.read(&service).await {
             log::info!("event=crash.unread service={service} code={} reason=\"{error}\"", error.code());
-            let pause_ms = self.rng.borrow_mut().u64(RETRY_MS);
+            let pause_ms = self.rng.borrow_mut().u64(RETRY_PAUSE_MS);
             sleep(Duration::from_millis(pause_ms)).await;
         }
     }
 
-    /// Counts a trial of a call in the store; returns whether it was counted, which one node alone is told.
+    /// Counts a trial of a call in the store; returns whether it was counted, which is true on one node only.
     pub(super) async fn count_trial(self: &Rc<Self>, suspect_ref: &SuspectRef) -> bool {
         match self.try_count_trial(suspect_ref).await {
             Ok(counted) => counted,
@@ -166,13 +171,13 @@
         let before = self.trials_of(suspect_ref);
         let position = self.read(&service).await?;
         if self.trials_of(suspect_ref) != before {
-            // Another node has just begun one.
+            // Another node has just counted a trial.
             return Ok(false);
         }
         let changed: Vec<CrashReport> = self.history.borrow_mut().count_trial(suspect_ref, now_us());
         let written = self.write(&service, position).await?;
-        // Whether it was written or not, it counts from now on: one trial less is the lesser evil.
-        drop(self.spread_change(changed, &[]));
+        // The trial counts even if the write failed: one trial too few does less harm than one too many.
+        drop(self.publish_and_send(changed, &[]));
         Ok(written)
     }
 
