--- a/valetrack/src/timeline/log.rs
+++ b/valetrack/src/timeline/log.rs
@@ -1,4 +1,4 @@
-//! Logs by fern: one key=value line an event, stamped with the process's hybrid clock.
+//! Logging with fern: each event is one line of key=value pairs with a stamp of the process's hybrid clock.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 use super::state::HybridClock;
 use crate::clock::wall_us;
 
-/// Events that the admin port can still show.
+/// Maximum number of events that the admin port shows.
 const RECENT_MAX: usize = 4_096;
 
 static SINK: OnceLock<LineSink> = OnceLock::new();
@@ -23,9 +23,9 @@
     update(|clock, wall_ms| clock.tick(wall_ms))
 }
 
-/// Takes a stamp that came with a message.
-pub fn observe(heard: u64) {
-    update(|clock, wall_ms| clock.observe(heard, wall_ms));
+/// Advances the clock to a stamp that was received with a message.
+pub fn observe(received: u64) {
+    update(|clock, wall_ms| clock.observe(received, wall_ms));
 }
 
 fn update<T>(change: impl Fn(&mut HybridClock, u64) -> T) -> T {
@@ -47,7 +47,7 @@
     RECENT.lock().map(|lines| lines.iter().cloned().collect()).unwrap_or_default()
 }
 
-fn remember(line: String) {
+fn keep_recent(line: String) {
     let Ok(mut lines) = RECENT.lock() else {
         return;
     };
@@ -57,29 +57,29 @@
     lines.push_back(line);
 }
 
-/// Why logging could not be started.
+/// Error of starting the log.
 #[derive(Debug, Snafu)]
 pub enum LogError {
-    /// The thread that writes could not be started.
+    /// The writer thread could not be started.
     #[snafu(display("{source}"), context(false))]
     Thread {
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// Logging was started before.
+    /// Another logger was installed before.
     #[snafu(display("{source}"), context(false))]
     Started {
-        /// Why.
+        /// Cause.
         source: log::SetLoggerError,
     },
 }
 
-/// Returns how many lines were dropped because standard output was not read fast enough.
+/// Returns the number of lines that were dropped because standard output was not read fast enough.
 pub fn dropped() -> u64 {
     SINK.get().map_or(0, LineSink::dropped)
 }
 
-/// Writes what still waits, at the end of the process.
+/// Writes the remaining lines at the end of the process.
 pub fn finish() {
     if let Some(sink) = SINK.get() {
         sink.finish();
@@ -91,15 +91,15 @@
     format!("hlc={} vm={} level={level} {message}", stamp(), Quoted(vm))
 }
 
-/// Starts logging to standard output and to the memory behind the admin port.
+/// Starts logging to standard output and to the recent events that the admin port shows.
 ///
 /// # Errors
 ///
-/// Returns an error when logging was started before or its thread cannot be.
+/// Returns an error if a logger was installed before or the writer thread could not be started.
 pub fn start(vm: &str, level: log::LevelFilter) -> Result<(), LogError> {
     let vm = vm.to_owned();
-    let noted = vm.clone();
-    let note = move |count: u64| line_of(&noted, log::Level::Warn, &format_args!("event=log.dropped count={count}"));
+    let note_vm = vm.clone();
+    let note = move |count: u64| line_of(&note_vm, log::Level::Warn, &format_args!("event=log.dropped count={count}"));
     let sink = LineSink::start(std::io::stdout(), note)?;
     let sink = SINK.get_or_init(|| sink);
     fern::Dispatch::new()
@@ -111,7 +111,7 @@
         .chain(fern::Output::call(|record| {
             let line = record.args().to_string();
             sink.push(record.level(), line.clone());
-            remember(line);
+            keep_recent(line);
         }))
         .apply()?;
     Ok(())
--- a/valetrack/src/timeline/message.rs
+++ b/valetrack/src/timeline/message.rs
@@ -9,13 +9,13 @@
 /// One event of one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Event {
-    /// Hybrid clock: milliseconds since 1970 in the upper 48 bits, a counter below.
+    /// Hybrid clock: milliseconds since 1970 in the upper 48 bits, a counter in the lower 16.
     pub hlc: u64,
     /// Name of the VM.
     pub vm: String,
     /// Name of the event.
     pub event: String,
-    /// The call that it belongs to, if it belongs to one.
+    /// Identifier of the call that it belongs to, if any.
     pub call: Option<String>,
     /// All other pairs, in their order.
     pub fields: Vec<Field>,
@@ -30,10 +30,10 @@
     pub value: String,
 }
 
-/// Why a line is no event.
+/// Error of parsing a line as an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LineError {
-    /// What is missing or wrong.
+    /// Reason of the error.
     pub reason: &'static str,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Writes a value that may be missing; `none` stands for one that is.
+/// Displays an optional value, and `none` if it is missing.
 pub struct OrNone<T>(pub Option<T>);
 
 impl<T: fmt::Display> fmt::Display for OrNone<T> {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Writes a value so that it stays one word: quoted where it holds anything but plain characters.
+/// Displays a value of a pair, in quotes if it is empty or holds white space, control characters, quotes or backslashes.
 pub struct Quoted<'a>(pub &'a str);
 
 impl fmt::Display for Quoted<'_> {
@@ -98,19 +98,19 @@
     }
 }
 
-/// Reads one line.
+/// Parses one line.
 ///
 /// # Errors
 ///
-/// Returns what is missing or wrong.
+/// Returns an error if a pair is malformed or a required one is missing.
 pub fn parse(line: &str) -> Result<Event, LineError> {
     let mut event = Event { hlc: 0, vm: String::new(), event: String::new(), call: None, fields: Vec::new() };
     let mut rest = line.trim();
     while !rest.is_empty() {
-        let (key, after) = rest.split_once('=').ok_or(LineError { reason: "a word is no key=value pair" })?;
-        let (value, after) = take_value(after)?;
+        let (key, after) = rest.split_once('=').ok_or(LineError { reason: "a word is not a key=value pair" })?;
+        let (value, after) = parse_value(after)?;
         match key {
-            "hlc" => event.hlc = value.parse().map_err(|_| LineError { reason: "hlc is no number" })?,
+            "hlc" => event.hlc = value.parse().map_err(|_| LineError { reason: "hlc is not a number" })?,
             "vm" => event.vm = value,
             "event" => event.event = value,
             "call" => event.call = Some(value),
@@ -124,7 +124,7 @@
     Ok(event)
 }
 
-fn take_value(text: &str) -> Result<(String, &str), LineError> {
+fn parse_value(text: &str) -> Result<(String, &str), LineError> {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(char::is_whitespace).unwrap_or(text.len());
         return Ok((text[..end].to_owned(), &text[end..]));
--- a/valetrack/src/timeline/mod.rs
+++ b/valetrack/src/timeline/mod.rs
@@ -1,8 +1,7 @@
-//! The time line: events of all processes in causal order.
+//! The timeline: events of all processes in causal order.
 //!
-//! Contract: a process's stamps only grow; a message carries its sender's stamp and its receiver
-//! goes on from there, so an event never stands before one that caused it, whatever the clocks
-//! of the VMs say.
+//! Contract: the stamps of a process only grow. A message carries its sender's stamp, and the receiver's clock advances to
+//! it, so an event is never ordered before its cause, even if the wall clocks of the VMs differ.
 
 pub mod log;
 mod message;
--- a/valetrack/src/timeline/sink.rs
+++ b/valetrack/src/timeline/sink.rs
@@ -1,7 +1,7 @@
-//! Log lines on their way to standard output: a bounded ring, and a thread that writes.
+//! Writes log lines to standard output through a bounded queue and a writer thread.
 //!
-//! Whoever logs never waits. Where the reader of standard output is too slow, lines are dropped
-//! and counted, those of ordinary events long before those of failures.
+//! A thread that logs never waits. If the reader of standard output is too slow, lines are dropped and counted. Lines of
+//! ordinary events are dropped long before those of failures.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -12,26 +12,26 @@
 use async_channel::{Receiver, Sender, TrySendError};
 use log::Level;
 
-/// Lines that wait at most: some 300 KB, a fraction of what a small VM grants a node.
-const RING_LINES: usize = 2_048;
-/// Time for which lines are gathered before they are written together, in milliseconds: each
-/// wake-up and write costs processor time, and a killed process loses no more than this.
+/// Capacity of the queue: some 300 KB, which is a fraction of a node's memory on a small VM.
+const QUEUE_LINES: usize = 2_048;
+/// Time for which lines are collected before they are written together: each wake-up and write costs processor time, and
+/// a killed process loses the lines of at most this time.
 const GATHER_MS: u64 = 20;
-/// Lines that are written together at most.
+/// Maximum number of lines that are written together.
 const BATCH_LINES: usize = 512;
-/// Time that the last lines have to be written at the end, in milliseconds.
-const LAST_MS: u64 = 200;
+/// Time limit for writing the remaining lines at the end.
+const FINISH_TIMEOUT_MS: u64 = 200;
 
-/// Returns whether a line of this level is taken by a ring of which `filled` of `places` are full.
-pub fn admits(level: Level, filled: usize, places: usize) -> bool {
+/// Returns whether a queue with `filled` lines of at most `capacity` accepts a line of this level.
+pub fn admits(level: Level, filled: usize, capacity: usize) -> bool {
     match level {
-        Level::Error | Level::Warn => filled < places,
-        Level::Info => filled < places / 4 * 3,
-        Level::Debug | Level::Trace => filled < places / 2,
+        Level::Error | Level::Warn => filled < capacity,
+        Level::Info => filled < capacity / 4 * 3,
+        Level::Debug | Level::Trace => filled < capacity / 2,
     }
 }
 
-/// The near end of the ring.
+/// The sending end of the queue.
 pub struct LineSink {
     lines: Sender<String>,
     dropped: Arc<AtomicU64>,
@@ -39,17 +39,17 @@
 }
 
 impl LineSink {
-    /// Starts the thread that writes to `out`; `note` makes the line that tells of dropped ones.
+    /// Starts the thread that writes to `out`; `note` formats the line that reports a number of dropped lines.
     ///
     /// # Errors
     ///
-    /// Returns why the thread could not be started.
+    /// Returns an error if the thread could not be started.
     pub fn start<W, N>(out: W, note: N) -> std::io::Result<Self>
     where
         W: Write + Send + 'static,
         N: Fn(u64) -> String + Send + 'static,
     {
-        let (lines, waiting) = async_channel::bounded(RING_LINES);
+        let (lines, waiting) = async_channel::bounded(QUEUE_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted = dropped.clone();
         let writer = std::thread::Builder::new()
@@ -58,25 +58,25 @@
         Ok(Self { lines, dropped, writer })
     }
 
-    /// Takes a line, or drops and counts it.
+    /// Queues a line, or drops and counts it.
     pub fn push(&self, level: Level, line: String) {
-        let taken = admits(level, self.lines.len(), RING_LINES)
+        let queued = admits(level, self.lines.len(), QUEUE_LINES)
             && !matches!(self.lines.try_send(line), Err(TrySendError::Full(_)));
-        if !taken {
+        if !queued {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Returns how many lines were dropped so far.
+    /// Returns the number of lines that were dropped so far.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Takes no more lines and waits for the last ones to be written, but no longer than a reader
-    /// that has stopped reading is worth.
+    /// Closes the queue and waits until the remaining lines are written. The wait is limited, since the reader of standard
+    /// output may have stopped reading.
     pub fn finish(&self) {
         self.lines.close();
-        let until = Instant::now() + Duration::from_millis(LAST_MS);
+        let until = Instant::now() + Duration::from_millis(FINISH_TIMEOUT_MS);
         while !self.writer.is_finished() && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -84,7 +84,7 @@
 }
 
 fn write_lines<W: Write>(mut out: W, waiting: &Receiver<String>, dropped: &AtomicU64, note: &impl Fn(u64) -> String) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(first) = waiting.recv_blocking() {
         if !waiting.is_closed() {
             std::thread::sleep(Duration::from_millis(GATHER_MS));
@@ -98,13 +98,13 @@
             batch.push('\n');
         }
         let lost = dropped.load(Ordering::Relaxed);
-        if lost > told {
-            batch.push_str(&note(lost - told));
+        if lost > reported {
+            batch.push_str(&note(lost - reported));
             batch.push('\n');
-            told = lost;
+            reported = lost;
         }
         if out.write_all(batch.as_bytes()).and_then(|()| out.flush()).is_err() {
-            // Nobody reads any more; what comes is dropped and counted by the full ring.
+            // The reader has closed standard output. Further lines fill the queue, and are then dropped and counted.
             return;
         }
     }
--- a/valetrack/src/timeline/tests.rs
+++ b/valetrack/src/timeline/tests.rs
@@ -1,4 +1,4 @@
-//! Stamps grow along messages, lines come back as they were written.
+//! Tests that stamps grow along messages, and that a written line is parsed to the same event.
 
 use proptest::prelude::*;
 use test_case::test_case;
@@ -17,9 +17,9 @@
         ..Default::default()
     })]
 
-    /// Clocks of three nodes differ by up to half a minute; each message carries a stamp.
+    /// The wall clocks of three nodes differ by up to half a minute; each message carries a stamp.
     #[test]
-    fn a_cause_stands_before_its_effect(
+    fn message_receipt_is_stamped_after_its_sending(
         skews_ms in prop::collection::vec(0..30_000u64, 3),
         messages in prop::collection::vec((0..3usize, 0..3usize, 0..50u64), 1..60),
     ) {
@@ -35,7 +35,7 @@
     }
 
     #[test]
-    fn a_line_comes_back_as_it_was(
+    fn displayed_event_parses_to_the_same_event(
         hlc in 1..u64::MAX,
         vm in "[a-z0-9-]{1,10}",
         name in "[^\\p{Cc}]{1,10}",
@@ -48,13 +48,13 @@
     }
 
     #[test]
-    fn no_line_makes_the_reader_panic(line in ".{0,120}") {
+    fn parse_never_panics_on_any_line(line in ".{0,120}") {
         let _ = parse(&line);
     }
 }
 
 #[test]
-fn a_clock_that_runs_far_ahead_is_not_followed() {
+fn observe_ignores_stamp_too_far_ahead() {
     let mut clock = HybridClock::default();
     let far = (1_000_000 + AHEAD_MAX_MS + 1) << 16;
     assert!(!clock.observe(far, 1_000_000));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn events_are_merged_in_order_and_once() {
+fn merge_sorts_events_and_drops_duplicates() {
     let events = vec![
         event(3, "b", "gate.start", Some("c1")),
         event(2, "a", "call.send", Some("c1")),
@@ -73,29 +73,29 @@
     assert_eq!(names, ["call.send", "gate.start"]);
 }
 
-#[test_case("", "hlc, vm or event is missing"; "nothing")]
-#[test_case("hello there", "a word is no key=value pair"; "prose")]
-#[test_case("hlc=x vm=a event=b", "hlc is no number"; "no number")]
-#[test_case("hlc=1 vm=a event=\"b", "a quote is not closed"; "an open quote")]
-fn lines_that_are_no_events_say_why(line: &str, reason: &str) {
+#[test_case("", "hlc, vm or event is missing"; "an empty line")]
+#[test_case("hello there", "a word is not a key=value pair"; "prose")]
+#[test_case("hlc=x vm=a event=b", "hlc is not a number"; "no number")]
+#[test_case("hlc=1 vm=a event=\"b", "a quote is not closed"; "an unclosed quote")]
+fn parse_returns_reason_for_malformed_line(line: &str, reason: &str) {
     assert_eq!(parse(line).map_err(|error| error.reason), Err(reason));
 }
 
-#[test_case(log::Level::Info, 5, true; "an ordinary line while there is room")]
-#[test_case(log::Level::Info, 6, false; "none when the ring is three quarters full")]
-#[test_case(log::Level::Debug, 4, false; "a detail goes sooner")]
-#[test_case(log::Level::Warn, 7, true; "a failure is kept to the last place")]
-#[test_case(log::Level::Error, 8, false; "but never waits")]
-fn failures_are_kept_longer_than_the_rest(level: log::Level, filled: usize, taken: bool) {
-    assert_eq!(super::admits(level, filled, 8), taken);
+#[test_case(log::Level::Info, 5, true; "info below three quarters is accepted")]
+#[test_case(log::Level::Info, 6, false; "info at three quarters is dropped")]
+#[test_case(log::Level::Debug, 4, false; "debug at one half is dropped")]
+#[test_case(log::Level::Warn, 7, true; "warning in the last free slot is accepted")]
+#[test_case(log::Level::Error, 8, false; "error in a full queue is dropped")]
+fn queue_admits_failures_longer_than_ordinary_lines(level: log::Level, filled: usize, admitted: bool) {
+    assert_eq!(super::admits(level, filled, 8), admitted);
 }
 
-/// A writer that takes nothing until it is let go.
+/// A writer that blocks until the other end of its channel is dropped.
 struct Stalled(std::sync::mpsc::Receiver<()>, std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
 
 impl std::io::Write for Stalled {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // Once its other end is dropped, the writer goes on.
+        // The receive fails as soon as the sender is dropped.
         let _ = self.0.recv();
         self.1.lock().expect("no panic").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn a_reader_that_stands_still_costs_lines_and_no_time() {
+fn blocked_reader_drops_lines_without_blocking_loggers() {
     let written = std::sync::Arc::default();
-    let (go, stalled) = std::sync::mpsc::channel();
+    let (unblock, stalled) = std::sync::mpsc::channel();
     let out = Stalled(stalled, std::sync::Arc::clone(&written));
     let sink = super::LineSink::start(out, |count| format!("dropped={count}")).expect("a thread");
     for number in 0..10_000 {
@@ -118,9 +118,9 @@
     let dropped = sink.dropped();
     assert!(dropped > 7_000, "{dropped}");
     sink.push(log::Level::Error, "last=1".into());
-    drop(go);
+    drop(unblock);
     sink.finish();
     let text = String::from_utf8(written.lock().expect("no panic").clone()).expect("text");
     assert!(text.starts_with("line=0\n") && text.contains("last=1\n"));
-    assert!(text.contains(&format!("dropped={dropped}")), "what was lost is told");
+    assert!(text.contains(&format!("dropped={dropped}")), "the number of dropped lines is reported");
 }
