--- a/valetrack/src/clock.rs
+++ b/valetrack/src/clock.rs
@@ -1,9 +1,9 @@
-//! The one place that reads clocks; decisions get `now_us` as an argument instead.
+//! The only module that reads clocks; pure decisions receive `now_us` as an argument instead.
 //!
-//! Three clocks, which differ where a VM is suspended: the steady clock (`CLOCK_MONOTONIC`, and every timer of
-//! the runtime) stands still meanwhile, `CLOCK_BOOTTIME` goes on, and the time of day goes on and may jump.
-//! What is agreed with others (leases, deadlines, the age of news) goes by [`now_us`]; what stands still with
-//! the VM, as its upstream does, goes by [`steady_us`]. `docs/INVARIANTS.md` has a row for each.
+//! There are three clocks, which differ when a VM is suspended: the steady clock (`CLOCK_MONOTONIC`, and all timers of
+//! the runtime) is paused, `CLOCK_BOOTTIME` continues, and the wall clock continues and may jump. Times that are shared
+//! with other nodes (leases, deadlines, the age of updates) use [`now_us`]. Times of things that are paused with the VM,
+//! such as its upstream, use [`steady_us`]. `docs/INVARIANTS.md` has a row for each.
 
 #[cfg(test)]
 mod tests;
@@ -15,14 +15,14 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A gap between both clocks that grows by less is no suspension, in microseconds: reading one after the other
-/// takes a thread that is short of processor time some tens of milliseconds.
+/// Minimum growth of the difference between both clocks that counts as a suspension: a thread that is short of processor
+/// time takes some tens of milliseconds to read one after the other.
 const SUSPENSION_MIN_US: u64 = 150_000;
 
-/// Microseconds by which tests have put the clock ahead that goes on in a suspension.
+/// Time by which simulated suspensions have advanced [`now_us`].
 static AHEAD_US: AtomicU64 = AtomicU64::new(0);
 
-/// Where both clocks stood when the process first asked.
+/// Readings of both clocks at their first use in the process.
 struct Start {
     steady: Instant,
     boot: Duration,
@@ -39,52 +39,52 @@
     START.get_or_init(|| Start { steady: Instant::now(), boot: boot_time() })
 }
 
-/// Returns microseconds since the process first asked, suspensions of the VM included.
+/// Returns microseconds since the first use of the clocks, suspensions of the VM included.
 pub fn now_us() -> u64 {
     let since = boot_time().saturating_sub(start().boot);
     since.as_micros() as u64 + AHEAD_US.load(Ordering::Relaxed)
 }
 
-/// Returns microseconds since the process first asked during which the VM was not suspended.
+/// Returns microseconds since the first use of the clocks, suspensions of the VM excluded.
 pub fn steady_us() -> u64 {
     start().steady.elapsed().as_micros() as u64
 }
 
-/// Returns for how long the VM was suspended since the process first asked, in microseconds; less than what
-/// [`SuspensionWatch`] takes for one may be an error of reading.
+/// Returns for how many microseconds the VM was suspended since the first use of the clocks. A result below the minimum
+/// of [`SuspensionWatch`] may be a reading error.
 pub fn suspended_us() -> u64 {
     let steady_us = steady_us();
     now_us().saturating_sub(steady_us)
 }
 
-/// Returns microseconds of the wall clock since 1970; it may jump.
+/// Returns microseconds since 1970 by the wall clock, which may jump.
 pub fn wall_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// Makes this process believe that its VM was suspended for this long just now, for tests.
+/// Simulates a suspension of the VM that has just ended, for tests: advances [`now_us`], but not [`steady_us`].
 pub fn put_ahead(by: Duration) {
     AHEAD_US.fetch_add(by.as_micros() as u64, Ordering::Relaxed);
 }
 
-/// A moment of the clock that goes on in a suspension.
+/// A point in time by [`now_us`], the clock that continues during a suspension.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment {
     us: u64,
 }
 
 impl Moment {
-    /// Returns the present moment.
+    /// Returns the current time.
     pub fn now() -> Self {
         Self { us: now_us() }
     }
 
-    /// Returns how long ago the moment was; zero for one to come.
+    /// Returns the time since the moment, or zero if it lies in the future.
     pub fn elapsed(self) -> Duration {
         Duration::from_micros(now_us().saturating_sub(self.us))
     }
 
-    /// Returns how long it is until the moment; zero for one that has passed.
+    /// Returns the time until the moment, or zero if it has passed.
     pub fn left(self) -> Duration {
         Duration::from_micros(self.us.saturating_sub(now_us()))
     }
@@ -98,19 +98,20 @@
     }
 }
 
-/// Tells of each suspension once.
+/// Detects suspensions and reports each of them once.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SuspensionWatch {
     seen_us: u64,
 }
 
 impl SuspensionWatch {
-    /// Makes a watch that tells of later suspensions only.
+    /// Creates a watch that reports later suspensions only.
     pub fn from_now() -> Self {
         Self { seen_us: suspended_us() }
     }
 
-    /// Takes for how long the VM was suspended so far; returns how long it was since the last time, if it was.
+    /// Records the total suspended time so far; returns the time that was added since the last report, if it is long
+    /// enough to be a suspension.
     pub fn take(&mut self, suspended_us: u64) -> Option<Duration> {
         let since_us = suspended_us.saturating_sub(self.seen_us);
         if since_us < SUSPENSION_MIN_US {
--- a/valetrack/src/clock/tests.rs
+++ b/valetrack/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! Clocks that differ where a VM is suspended.
+//! Tests of the clocks that differ when a VM is suspended.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::*;
 
 #[test]
-fn a_suspension_is_told_once_and_an_error_of_reading_never() {
+fn watch_reports_suspension_once_and_ignores_reading_error() {
     let mut watch = SuspensionWatch::default();
     assert_eq!(watch.take(0), None);
     assert_eq!(watch.take(SUSPENSION_MIN_US - 1), None);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_moment_that_has_passed_is_no_time_away() {
+fn moment_left_and_elapsed_are_never_negative() {
     let moment = Moment::now() + Duration::from_secs(60);
     assert!(moment.left() > Duration::from_secs(59));
     assert_eq!(moment.elapsed(), Duration::ZERO);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn all_clocks_of_a_vm_that_is_not_suspended_go_on_together() {
+fn both_clocks_advance_without_a_suspension() {
     let (before, steady_before) = (now_us(), steady_us());
     std::thread::sleep(Duration::from_millis(5));
     assert!(now_us() >= before + 5_000 && steady_us() >= steady_before + 5_000);
@@ -42,14 +42,14 @@
     })]
 
     #[test]
-    fn a_watch_tells_all_of_the_time_that_was_suspended(gaps_us in prop::collection::vec(0..3_000_000_u64, 1..30)) {
+    fn watch_reports_the_total_suspended_time(gaps_us in prop::collection::vec(0..3_000_000_u64, 1..30)) {
         let mut watch = SuspensionWatch::default();
-        let (mut total_us, mut told) = (0, Duration::ZERO);
+        let (mut total_us, mut reported) = (0, Duration::ZERO);
         for gap_us in gaps_us {
             total_us += gap_us;
-            told += watch.take(total_us).unwrap_or_default();
-            prop_assert!(told <= Duration::from_micros(total_us));
-            prop_assert!(told + Duration::from_micros(SUSPENSION_MIN_US) > Duration::from_micros(total_us));
+            reported += watch.take(total_us).unwrap_or_default();
+            prop_assert!(reported <= Duration::from_micros(total_us));
+            prop_assert!(reported + Duration::from_micros(SUSPENSION_MIN_US) > Duration::from_micros(total_us));
         }
     }
 }
