--- a/valetrack/src/metric.rs
+++ b/valetrack/src/metric.rs
@@ -1,11 +1,11 @@
-//! Metrics of a node, by the conventions of Prometheus.
+//! Prometheus metrics of a node.
 
 use prometheus::{
     CounterVec, Encoder, GaugeVec, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Bounds of the call histogram, in seconds.
+/// Bucket bounds of the call histogram.
 const CALL_BOUNDS_S: &[f64] =
     &[0.0005, 0.001, 0.002, 0.004, 0.008, 0.016, 0.032, 0.064, 0.128, 0.256, 0.512, 1.0, 2.0, 5.0];
 
@@ -13,79 +13,80 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Calls of callers by outcome.
+    /// Calls from callers, by outcome.
     pub calls: IntCounterVec,
-    /// Time of calls at their entry, in seconds.
+    /// Duration of calls, measured at their entry, in seconds.
     pub call_seconds: Histogram,
-    /// Attempts by how they ended.
+    /// Attempts, by result.
     pub attempts: IntCounterVec,
     /// Attempts sent, by service and cause.
     pub sends: IntCounterVec,
-    /// Repeats not sent for want of budget, by service and cause.
+    /// Retries that were not sent because the retry budget was used up, by service and cause.
     pub repeats_refused: IntCounterVec,
-    /// Calls that repeated runs of the own upstream made, by service; parts of calls where it is a chance.
+    /// Calls that retried runs of this node's upstream have made, by service. A call that was made by a retried run only
+    /// with some probability counts as that fraction.
     pub nested_repeats: CounterVec,
-    /// Repeats that this node may still send now, by service.
+    /// Retries that this node may still send now, by service.
     pub repeats_left: GaugeVec,
-    /// This node's part of the fleet's reserve of repeats, by service.
+    /// This node's share of the fleet's retry reserve, by service.
     pub repeat_reserve: GaugeVec,
-    /// Attempts given back by reason.
+    /// Declined attempts, by reason.
     pub bounces: IntCounterVec,
-    /// Calls that run at this VM's server.
+    /// Calls that run on this VM's upstream.
     pub gate_in_flight: IntGauge,
-    /// Calls that wait at this VM's server.
+    /// Calls that wait for a slot of this VM's upstream.
     pub gate_queued: IntGauge,
-    /// Starts of the upstream without a word of leaving before.
+    /// Starts of the upstream without a preceding announcement that it leaves.
     pub upstream_crashes: IntCounter,
-    /// Whether the upstream falls over again and again.
+    /// 1 if the upstream crashes repeatedly, otherwise 0.
     pub upstream_recurrent_crash: IntGauge,
     /// Suspensions of the VM.
     pub suspensions: IntCounter,
     /// Crashes of the upstream while it ran calls.
     pub crash_reports: IntCounter,
-    /// Suspects of crashes that this node knows of and that are not cleared.
+    /// Recorded suspects of crashes that are not cleared.
     pub crash_suspects: IntGauge,
-    /// Calls that were refused since they crash upstreams, by service and by who refused them.
+    /// Calls that were refused because they crash upstreams, by service and by the refusing side (entry or owner).
     pub quarantined_calls: IntCounterVec,
-    /// Answers that belong to no open attempt.
+    /// Answers that were dropped because they belong to no open attempt.
     pub stray_answers: IntCounter,
-    /// Frames that could not be read.
+    /// Link frames that could not be parsed.
     pub bad_frames: IntCounter,
-    /// Entries and announcements that could not be read, by code.
+    /// Entries and announcements that could not be parsed, by code.
     pub invalid_input: IntCounterVec,
-    /// Calls of callers that could not be read.
+    /// Calls from callers that were refused as invalid.
     pub bad_calls: IntCounter,
-    /// Calls refused since their client account is over its rate.
+    /// Calls that were refused because their client account exceeds its rate.
     pub over_rate: IntCounter,
-    /// Questions for credits put to homes of client accounts.
+    /// Credit requests that were sent to homes of client accounts.
     pub quota_questions: IntCounter,
     /// Calls for which no home of their client account answered.
     pub quota_unanswered: IntCounter,
-    /// Bytes spent only on measuring.
+    /// Bytes that were transferred only for measurements.
     pub measure_bytes: IntCounter,
-    /// Budget for that, in bytes a second.
+    /// Measurement budget in bytes per second.
     pub measure_budget: IntGauge,
     /// Probes sent.
     pub probes: IntCounter,
-    /// Questions put to the upstream's machine for its speed.
+    /// Speed requests that were sent to the upstream's machine.
     pub speed_questions: IntCounter,
-    /// Questions to the node that is followed in place of the store.
+    /// Requests to the node that is followed instead of the store.
     pub relay_questions: IntCounter,
-    /// Calls to the store by kind.
+    /// Calls to the store, by kind.
     pub store_calls: IntCounterVec,
     /// Calls to the store that failed, by code.
     pub store_failures: IntCounterVec,
-    /// Reads of the store that showed an earlier state than is known, and were dropped.
+    /// Store reads that were dropped because they returned an earlier state than the recorded one.
     pub store_outdated: IntCounter,
-    /// Times that the store has come back older.
+    /// Store rollbacks.
     pub store_rollbacks: IntCounter,
     /// Number of the bundle in force.
     pub bundle_number: IntGauge,
-    /// Presses by how they ended.
+    /// Keyed calls, by reply.
     pub presses: IntCounterVec,
-    /// Open links that this node opened.
+    /// Open links that this node has opened.
     pub links: IntGauge,
-    /// Lines of the log that were dropped.
+    /// Dropped log lines.
     log_dropped: IntGauge,
 }
 
@@ -94,7 +95,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if two metrics have the same name, which is a fault of this file.
+    /// Panics if two metrics have the same name, which is a bug in this file.
     pub fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str| {
@@ -112,7 +113,8 @@
             registry.register(Box::new(gauges.clone())).expect("unique name");
             gauges
         };
-        let opts = Opts::new("valetrack_nested_repeats_total", "Calls that repeated runs of the own upstream made.");
+        let opts =
+            Opts::new("valetrack_nested_repeats_total", "Calls that retried runs of this node's upstream have made.");
         let nested_repeats = CounterVec::new(opts, &["service"]).expect("valid name");
         registry.register(Box::new(nested_repeats.clone())).expect("unique name");
         let counters = |name: &str, help: &str, label: &str| counters_by(name, help, &[label]);
@@ -121,69 +123,85 @@
             registry.register(Box::new(gauge.clone())).expect("unique name");
             gauge
         };
-        let opts = HistogramOpts::new("valetrack_call_seconds", "Time of calls at their entry.");
+        let opts = HistogramOpts::new("valetrack_call_seconds", "Duration of calls, measured at their entry.");
         let call_seconds = Histogram::with_opts(opts.buckets(CALL_BOUNDS_S.to_vec())).expect("valid name");
         registry.register(Box::new(call_seconds.clone())).expect("unique name");
         Self {
-            calls: counters("valetrack_calls_total", "Calls of callers by outcome.", "outcome"),
+            calls: counters("valetrack_calls_total", "Calls from callers, by outcome.", "outcome"),
             call_seconds,
-            attempts: counters("valetrack_attempts_total", "Attempts by how they ended.", "result"),
-            sends: counters_by("valetrack_sends_total", "Attempts sent, by why.", &["service", "cause"]),
+            attempts: counters("valetrack_attempts_total", "Attempts, by result.", "result"),
+            sends: counters_by("valetrack_sends_total", "Attempts sent, by service and cause.", &["service", "cause"]),
             repeats_refused: counters_by(
                 "valetrack_repeats_refused_total",
-                "Repeats not sent for want of budget.",
+                "Retries not sent because the retry budget was used up.",
                 &["service", "cause"],
             ),
             nested_repeats,
-            repeats_left: gauges_by("valetrack_repeats_left", "Repeats that may still be sent now."),
-            repeat_reserve: gauges_by("valetrack_repeat_reserve", "Part of the fleet's reserve of repeats."),
-            bounces: counters("valetrack_bounces_total", "Attempts given back unstarted.", "reason"),
-            gate_in_flight: gauge("valetrack_gate_in_flight_calls", "Calls that run at the server."),
-            gate_queued: gauge("valetrack_gate_queued_calls", "Calls that wait for a slot."),
+            repeats_left: gauges_by("valetrack_repeats_left", "Retries that this node may still send now."),
+            repeat_reserve: gauges_by("valetrack_repeat_reserve", "This node's share of the fleet's retry reserve."),
+            bounces: counters("valetrack_bounces_total", "Attempts declined before their start, by reason.", "reason"),
+            gate_in_flight: gauge("valetrack_gate_in_flight_calls", "Calls that run on the upstream."),
+            gate_queued: gauge("valetrack_gate_queued_calls", "Calls that wait for a slot of the upstream."),
             upstream_crashes: counter(
                 "valetrack_upstream_crashes_total",
-                "Starts of the upstream that came unannounced.",
+                "Starts of the upstream without a preceding announcement that it leaves.",
             ),
             upstream_recurrent_crash: gauge(
                 "valetrack_upstream_recurrent_crash",
-                "Whether the upstream falls over again and again.",
+                "1 if the upstream crashes repeatedly, otherwise 0.",
             ),
             suspensions: counter("valetrack_suspensions_total", "Suspensions of the VM."),
             crash_reports: counter("valetrack_crash_reports_total", "Crashes of the upstream while it ran calls."),
-            crash_suspects: gauge("valetrack_crash_suspects", "Calls that may have crashed upstreams, not cleared."),
+            crash_suspects: gauge(
+                "valetrack_crash_suspects",
+                "Calls that may have crashed upstreams and are not cleared.",
+            ),
             quarantined_calls: counters_by(
                 "valetrack_quarantined_calls_total",
-                "Calls refused since they crash upstreams.",
+                "Calls refused because they crash upstreams.",
                 &["service", "by"],
             ),
-            stray_answers: counter("valetrack_stray_answers_total", "Answers of no open attempt, dropped."),
-            bad_frames: counter("valetrack_bad_frames_total", "Frames on links that could not be read."),
+            stray_answers: counter(
+                "valetrack_stray_answers_total",
+                "Answers dropped because they belong to no open attempt.",
+            ),
+            bad_frames: counter("valetrack_bad_frames_total", "Link frames that could not be parsed."),
             invalid_input: counters(
                 "valetrack_invalid_input_total",
-                "Entries and announcements that could not be read.",
+                "Entries and announcements that could not be parsed, by code.",
                 "code",
             ),
-            bad_calls: counter("valetrack_bad_calls_total", "Calls of callers that were refused as bad input."),
+            bad_calls: counter("valetrack_bad_calls_total", "Calls from callers that were refused as invalid."),
             over_rate: counter(
                 "valetrack_over_rate_calls_total",
-                "Calls refused since their account is over its rate.",
+                "Calls refused because their account exceeds its rate.",
             ),
-            quota_questions: counter("valetrack_quota_questions_total", "Questions for credits of client accounts."),
+            quota_questions: counter("valetrack_quota_questions_total", "Credit requests to homes of client accounts."),
             quota_unanswered: counter(
                 "valetrack_quota_unanswered_total",
                 "Calls for which no home of their account answered.",
             ),
-            measure_bytes: counter("valetrack_measure_bytes_total", "Bytes spent only on measuring."),
-            measure_budget: gauge("valetrack_measure_budget_bytes_per_second", "Budget for measuring."),
+            measure_bytes: counter("valetrack_measure_bytes_total", "Bytes transferred only for measurements."),
+            measure_budget: gauge("valetrack_measure_budget_bytes_per_second", "Measurement budget."),
             probes: counter("valetrack_probes_total", "Probes sent."),
-            relay_questions: counter("valetrack_relay_questions_total", "Questions to the relay that is followed."),
-            speed_questions: counter("valetrack_speed_questions_total", "Questions for the machine's speed."),
-            store_calls: counters("valetrack_store_calls_total", "Calls to the store by kind.", "kind"),
-            store_failures: counters("valetrack_store_failures_total", "Calls to the store that failed.", "code"),
-            store_outdated: counter("valetrack_store_outdated_total", "Reads that showed an earlier state, dropped."),
-            store_rollbacks: counter("valetrack_store_rollbacks_total", "Times that the store has come back older."),
+            relay_questions: counter(
+                "valetrack_relay_questions_total",
+                "Requests to the node that is followed instead of the store.",
+            ),
+            speed_questions: counter("valetrack_speed_questions_total", "Speed requests to the upstream's machine."),
+            store_calls: counters("valetrack_store_calls_total", "Calls to the store, by kind.", "kind"),
+            store_failures: counters(
+                "valetrack_store_failures_total",
+                "Calls to the store that failed, by code.",
+                "code",
+            ),
+            store_outdated: counter(
+                "valetrack_store_outdated_total",
+                "Store reads dropped because they returned an earlier state.",
+            ),
+            store_rollbacks: counter("valetrack_store_rollbacks_total", "Store rollbacks."),
             bundle_number: gauge("valetrack_bundle_number", "Number of the bundle in force."),
-            presses: counters("valetrack_presses_total", "Presses with a key by how they ended.", "reply"),
+            presses: counters("valetrack_presses_total", "Keyed calls, by reply.", "reply"),
             links: gauge("valetrack_links_open", "Links that this node has opened."),
             log_dropped: gauge("valetrack_log_lines_dropped", "Log lines dropped since the start."),
             registry,
