--- a/valetrack/src/crash/run.rs
+++ b/valetrack/src/crash/run.rs
@@ -264,7 +264,7 @@
             }
             sleep(Duration::from_millis(RESEND_PAUSE_MS)).await;
         }
-        log::info!("event=crash.untold peer={} reports={}", target.vm, reports.len());
+        log::info!("event=crash.report_undelivered peer={} reports={}", target.vm, reports.len());
     }
 
     /// Sends reports to another node; returns whether it has replied to all messages.
