--- a/valetrack/src/crash/run.rs
+++ b/valetrack/src/crash/run.rs
@@ -190,7 +190,7 @@
 
     fn on_reports_received(self: &Rc<Self>, reports: &[CrashReport], from: &Arc<str>) {
         if self.history.borrow_mut().join(reports, from, now_us()) {
-            log::info!("event=crash.heard from={from} reports={}", reports.len());
+            log::info!("event=crash.report_received from={from} reports={}", reports.len());
             self.publish();
             self.archive_due.notify_one();
         }
--- a/valetrack/src/crash/run/keep.rs
+++ b/valetrack/src/crash/run/keep.rs
@@ -124,7 +124,7 @@
             }
         };
         if self.history.borrow_mut().join(&reports, &self.store, now_us()) {
-            log::info!("event=crash.heard from={} service={service} reports={}", self.store, reports.len());
+            log::info!("event=crash.report_received from={} service={service} reports={}", self.store, reports.len());
             self.publish();
         }
         self.stored.borrow_mut().insert(service.clone(), reports);
