--- a/valetrack/src/crash/run/keep.rs
+++ b/valetrack/src/crash/run/keep.rs
@@ -142,7 +142,7 @@
     pub(super) async fn read_at_start(self: Rc<Self>) {
         let service = self.parts.service.clone();
         while let Err(error) = self.read(&service).await {
-            log::info!("event=crash.unread service={service} code={} reason=\"{error}\"", error.code());
+            log::info!("event=crash.read_failed service={service} code={} reason=\"{error}\"", error.code());
             let pause_ms = self.rng.borrow_mut().u64(RETRY_PAUSE_MS);
             sleep(Duration::from_millis(pause_ms)).await;
         }
