--- a/valetrack/src/crash/run/keep.rs
+++ b/valetrack/src/crash/run/keep.rs
@@ -41,7 +41,7 @@
                 continue;
             }
             if let Err(error) = self.save(&service).await {
-                log::warn!("event=crash.unsaved service={service} code={} reason=\"{error}\"", error.code());
+                log::warn!("event=crash.write_failed service={service} code={} reason=\"{error}\"", error.code());
                 self.urgency.set(Urgency::Now);
                 let pause_ms = self.rng.borrow_mut().u64(RETRY_PAUSE_MS);
                 sleep(Duration::from_millis(pause_ms)).await;
