--- a/valetrack/src/crash/quarantine.rs
+++ b/valetrack/src/crash/quarantine.rs
@@ -48,7 +48,7 @@
     ) -> Rc<Self> {
         let key = FingerprintKey::draw();
         if key.is_none() {
-            log::error!("event=crash.no_key reason=\"the system returned no random bytes\"");
+            log::error!("event=crash.key_unavailable reason=\"the system returned no random bytes\"");
         }
         Rc::new(Self { history, key, to_crash, answers: RefCell::default(), counting: Cell::new(false), metrics })
     }
