--- a/valetrack/src/crash/run/keep.rs
+++ b/valetrack/src/crash/run/keep.rs
@@ -154,7 +154,7 @@
             Ok(counted) => counted,
             Err(error) => {
                 log::warn!(
-                    "event=crash.trial_uncounted fingerprint={} code={} reason=\"{error}\"",
+                    "event=crash.trial_not_counted fingerprint={} code={} reason=\"{error}\"",
                     suspect_ref.fingerprint,
                     error.code()
                 );
