--- a/valetrack/src/crash/detect.rs
+++ b/valetrack/src/crash/detect.rs
@@ -7,9 +7,9 @@
 
 /// Time for which the upstream may go on with a run whose caller has left or whose deadline has passed: most upstreams
 /// stop when the connection is closed, and others run for as long as usual work takes.
-const LEFT_US: u64 = 1_000_000;
+const ABANDONED_RUN_US: u64 = 1_000_000;
 /// Maximum number of such runs that are recorded: an upstream runs some tens of calls at once.
-const LEFT_MAX: usize = 32;
+const ABANDONED_RUNS_MAX: usize = 32;
 
 /// How an exchange with the upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,7 +53,7 @@
     /// Calls whose connections have broken since the upstream last answered or accepted a probe.
     broken: Vec<C>,
     /// Recent runs whose callers have left.
-    left: VecDeque<AbandonedRun<C>>,
+    abandoned: VecDeque<AbandonedRun<C>>,
     /// How the upstream is down since the last reported crash; `None` if it is up.
     down: Option<Down>,
     /// Number of the latest exchange that had begun when that crash was reported.
@@ -67,7 +67,7 @@
             running: HashMap::new(),
             broke_after: None,
             broken: Vec::new(),
-            left: VecDeque::new(),
+            abandoned: VecDeque::new(),
             down: None,
             crashed_after: 0,
             next: 0,
@@ -92,7 +92,7 @@
                 false
             }
             (ExchangeEnd::Left, Some(call)) => {
-                self.left.push_back(AbandonedRun { call, at_us: now_us });
+                self.abandoned.push_back(AbandonedRun { call, at_us: now_us });
                 self.drop_expired(now_us);
                 false
             }
@@ -132,7 +132,7 @@
         self.drop_expired(now_us);
         self.broke_after = None;
         let mut suspects = std::mem::take(&mut self.broken);
-        suspects.extend(self.left.drain(..).map(|left| left.call));
+        suspects.extend(self.abandoned.drain(..).map(|run| run.call));
         if !suspects.is_empty() {
             self.down = Some(down);
             self.crashed_after = self.next;
@@ -147,9 +147,9 @@
     }
 
     fn drop_expired(&mut self, now_us: u64) {
-        let expired = |left: &AbandonedRun<C>| left.at_us + LEFT_US <= now_us;
-        while self.left.len() > LEFT_MAX || self.left.front().is_some_and(expired) {
-            self.left.pop_front();
+        let expired = |run: &AbandonedRun<C>| run.at_us + ABANDONED_RUN_US <= now_us;
+        while self.abandoned.len() > ABANDONED_RUNS_MAX || self.abandoned.front().is_some_and(expired) {
+            self.abandoned.pop_front();
         }
     }
 }
--- a/valetrack/src/crash/quarantine.rs
+++ b/valetrack/src/crash/quarantine.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns the status of a call if it is a suspect.
-    fn standing(&self, head: &CallHead, body: &[u8]) -> Option<Standing> {
+    fn suspect_status(&self, head: &CallHead, body: &[u8]) -> Option<Standing> {
         let history = self.history.borrow();
         if !history.has_suspects() {
             return None;
@@ -64,7 +64,7 @@
 
     /// Returns whether the entry has to refuse a call at once, because no owner would run it.
     pub fn refuses(&self, head: &CallHead, body: &[u8]) -> bool {
-        let Some(standing) = self.standing(head, body).filter(Standing::is_refused) else {
+        let Some(standing) = self.suspect_status(head, body).filter(Standing::is_refused) else {
             return false;
         };
         if standing.trial_due_us().is_some_and(|due_us| now_us() >= due_us) {
@@ -78,7 +78,7 @@
     /// Returns whether an owner may send a call to its upstream. If a trial is due, it waits until the trial is counted in
     /// the store, for at most [`TRIAL_WAIT_MS`].
     pub async fn admit(&self, head: &CallHead, body: &[u8]) -> Admission {
-        let Some(standing) = self.standing(head, body) else {
+        let Some(standing) = self.suspect_status(head, body) else {
             return Admission::Clear;
         };
         if !standing.is_refused() {
@@ -105,7 +105,7 @@
     pub fn forbids(&self, admission: Admission, call: &RunningCall) -> bool {
         let standing = match admission {
             Admission::Trial => None,
-            Admission::Clear | Admission::Alone | Admission::Refused => self.standing(&call.head, &call.body),
+            Admission::Clear | Admission::Alone | Admission::Refused => self.suspect_status(&call.head, &call.body),
         };
         let Some(standing) = standing.filter(Standing::is_refused) else {
             return false;
@@ -146,7 +146,7 @@
         if let Some(key) = self.key {
             self.answers.borrow_mut().answered(key, head, body, now_us());
         }
-        if let Some(standing) = self.standing(head, body) {
+        if let Some(standing) = self.suspect_status(head, body) {
             log::info!("event=crash.cleared call={} crashes={}", head.call_id, standing.crashes());
             // If the queue is full, the next answer to the call clears it.
             let _ = self.to_crash.try_send(CrashJob::Answered { refs: standing.refs });
@@ -168,7 +168,7 @@
             }
             let fingerprint = key.fingerprint(head, body);
             if calls.iter().all(|other| other.fingerprint != fingerprint) {
-                let refs = self.standing(head, body).map_or_else(Vec::new, |standing| standing.refs);
+                let refs = self.suspect_status(head, body).map_or_else(Vec::new, |standing| standing.refs);
                 calls.push(CrashedCall { fingerprint, refs, route: head.route.clone() });
             }
         }
--- a/valetrack/src/crash/run.rs
+++ b/valetrack/src/crash/run.rs
@@ -166,8 +166,8 @@
         });
     }
 
-    /// Clears a call that was answered. Other nodes learn that from the store. Until then, they only run the call
-    /// beside no other suspect, which delays it little.
+    /// Clears a call that was answered. Other nodes learn that from the store. Until then, they don't run the
+    /// call beside another suspect, which delays it little.
     fn on_suspects_answered(self: &Rc<Self>, refs: &[SuspectRef]) {
         let changed = self.history.borrow_mut().clear(refs);
         if changed.is_empty() {
--- a/valetrack/src/timeline/sink.rs
+++ b/valetrack/src/timeline/sink.rs
@@ -104,7 +104,7 @@
             reported = lost;
         }
         if out.write_all(batch.as_bytes()).and_then(|()| out.flush()).is_err() {
-            // The reader has closed standard output. Further lines fill the queue, and are then dropped and counted.
+            // The reader has closed standard output. The queue closes with this thread, and further lines are dropped.
             return;
         }
     }
