--- a/standin/src/overload/fleet.rs
+++ b/standin/src/overload/fleet.rs
@@ -1,88 +1,88 @@
-//! What is played: the fleet's shape, its routes, and the loads on it.
+//! Input of a run: the shape of a fleet, its routes, and the loads on it.
 
-/// Failure domains of a fleet.
+/// Number of failure domains of a fleet.
 pub const DOMAINS: usize = 5;
 
-/// Upstreams of one service.
+/// Number of upstreams of one service.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceShape {
-    /// Upstreams by failure domain.
+    /// Upstreams per failure domain.
     pub per_domain: [usize; DOMAINS],
 }
 
-/// Calls that a run makes before it works.
+/// Nested calls that a run makes before its own work.
 #[derive(Debug, Clone, Copy)]
 pub struct Nested {
-    /// The route that is called.
+    /// Index of the called route.
     pub route: usize,
-    /// How often, all at once.
+    /// Number of concurrent calls.
     pub times: u8,
-    /// Share of runs that call at all.
+    /// Share of the runs that make these calls.
     pub share: f64,
 }
 
-/// Calls of one kind.
+/// A route and its calls.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteShape {
-    /// Its name in reports.
+    /// Name in reports.
     pub name: &'static str,
-    /// The service that serves it.
+    /// Index of the service that serves it.
     pub service: usize,
-    /// Time that a run takes on a machine of its own, on average, in microseconds.
+    /// Mean time of a run on an otherwise idle machine.
     pub work_us: u64,
-    /// Time within which an answer is worth the most, in milliseconds.
+    /// Time within which an answer has its full utility.
     pub objective_ms: u32,
-    /// Time that a caller waits, in milliseconds.
+    /// Time for which a caller waits.
     pub deadline_ms: u32,
-    /// Rank; zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Whether the work may run more than once.
+    /// Whether a call may run more than once.
     pub repeatable: bool,
-    /// Calls of callers of a thousand.
+    /// Share of the callers that call this route.
     pub permille: u32,
-    /// What an answer in time is worth to its caller.
-    pub worth: f64,
-    /// Bytes of a call and its answer.
+    /// Utility of an answer within the objective.
+    pub utility: f64,
+    /// Size of a call and its answer together.
     pub bytes: u64,
-    /// Calls that its runs make.
+    /// Nested calls that its runs make.
     pub nested: Option<Nested>,
 }
 
-/// A fleet.
+/// Shape of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
-    /// Callers of a thousand by failure domain.
+    /// Share of the callers per failure domain.
     pub callers_permille: [u32; DOMAINS],
-    /// Its services.
+    /// Services.
     pub services: &'static [ServiceShape],
-    /// Its routes.
+    /// Routes.
     pub routes: &'static [RouteShape],
-    /// Calls that an upstream runs at once.
+    /// Concurrent runs of an upstream.
     pub slots: u16,
-    /// Calls within a second above which a cold upstream falls over; none where it bears any number.
-    pub cold_bears: Option<usize>,
-    /// Most calls a second that owners let in while their upstream is cold; none where nothing is bounded.
+    /// Calls in a second above which a cold upstream crashes; `None` where it accepts any number.
+    pub cold_calls_max: Option<usize>,
+    /// Calls a second that an owner admits while its upstream is cold; `None` where they are not bounded.
     pub cold_starts_per_s: Option<u32>,
 }
 
-/// What comes at a fleet.
+/// Load on a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Its name.
+    /// Name.
     pub name: &'static str,
-    /// Calls of callers a second outside of the burst.
+    /// Arrivals of callers a second outside of the burst.
     pub per_s: u64,
-    /// Factor of the burst.
+    /// Factor of the rate in the burst.
     pub burst: f64,
-    /// From when to when it goes, in seconds.
+    /// Start and end of the burst.
     pub burst_s: (u64, u64),
-    /// Time from the start for which upstreams take twice as long, in microseconds.
+    /// Time after a start for which upstreams are cold and take twice as long.
     pub cold_us: u64,
-    /// Upstreams that are gone from the start, of a hundred.
-    pub gone_percent: u64,
+    /// Probability that an upstream is absent for the whole run.
+    pub absent_percent: u64,
 }
 
-/// A fleet of 195 VMs in five failure domains, as a user runs it.
+/// A fleet of 195 VMs in five failure domains, modelled on a user's.
 pub const LARGE: Fleet = Fleet {
     callers_permille: [182, 161, 230, 197, 230],
     services: &[
@@ -101,7 +101,7 @@
             priority: 2,
             repeatable: true,
             permille: 534,
-            worth: 1.0,
+            utility: 1.0,
             bytes: 2_000,
             nested: Some(Nested { route: 4, times: 2, share: 0.7 }),
         },
@@ -114,7 +114,7 @@
             priority: 1,
             repeatable: false,
             permille: 184,
-            worth: 2.0,
+            utility: 2.0,
             bytes: 2_100,
             nested: Some(Nested { route: 5, times: 2, share: 0.7 }),
         },
@@ -127,7 +127,7 @@
             priority: 0,
             repeatable: false,
             permille: 146,
-            worth: 3.0,
+            utility: 3.0,
             bytes: 2_100,
             nested: Some(Nested { route: 6, times: 2, share: 0.7 }),
         },
@@ -140,7 +140,7 @@
             priority: 1,
             repeatable: true,
             permille: 136,
-            worth: 2.0,
+            utility: 2.0,
             bytes: 5_500,
             nested: None,
         },
@@ -149,12 +149,12 @@
         inner("status check", 3),
     ],
     slots: 9,
-    cold_bears: None,
+    cold_calls_max: None,
     cold_starts_per_s: None,
 };
 
-/// A fleet of 69 VMs in three failure domains, whose upstreams fall over when they get more than 32 calls
-/// in a second while they are cold.
+/// A fleet of 69 VMs in three failure domains, whose upstreams crash when they receive more than 32 calls in
+/// a second while they are cold.
 pub const ROUNDS: Fleet = Fleet {
     callers_permille: [316, 337, 347, 0, 0],
     services: &[
@@ -173,7 +173,7 @@
             priority: 2,
             repeatable: true,
             permille: 327,
-            worth: 1.0,
+            utility: 1.0,
             bytes: 1_900,
             nested: Some(Nested { route: 4, times: 1, share: 0.7 }),
         },
@@ -186,7 +186,7 @@
             priority: 1,
             repeatable: false,
             permille: 336,
-            worth: 2.0,
+            utility: 2.0,
             bytes: 9_400,
             nested: Some(Nested { route: 5, times: 1, share: 0.7 }),
         },
@@ -199,7 +199,7 @@
             priority: 0,
             repeatable: false,
             permille: 89,
-            worth: 3.0,
+            utility: 3.0,
             bytes: 6_600,
             nested: Some(Nested { route: 6, times: 2, share: 0.7 }),
         },
@@ -212,7 +212,7 @@
             priority: 1,
             repeatable: true,
             permille: 248,
-            worth: 2.0,
+            utility: 2.0,
             bytes: 1_900,
             nested: None,
         },
@@ -221,16 +221,16 @@
         check("tank check", 3),
     ],
     slots: 11,
-    cold_bears: Some(32),
+    cold_calls_max: Some(32),
     cold_starts_per_s: Some(24),
 };
 
-/// Makes a short route that only upstreams call.
+/// Creates a short route that only upstreams call.
 const fn check(name: &'static str, service: usize) -> RouteShape {
     RouteShape { work_us: 40_000, objective_ms: 150, deadline_ms: 500, ..inner(name, service) }
 }
 
-/// Makes a route that only upstreams call.
+/// Creates a route that only upstreams call.
 const fn inner(name: &'static str, service: usize) -> RouteShape {
     RouteShape {
         name,
@@ -241,23 +241,23 @@
         priority: 0,
         repeatable: true,
         permille: 0,
-        worth: 0.0,
+        utility: 0.0,
         bytes: 700,
         nested: None,
     }
 }
 
-const STEADY: Load = Load { name: "steady", per_s: 600, burst: 1.0, burst_s: (0, 0), cold_us: 0, gone_percent: 0 };
+const STEADY: Load = Load { name: "steady", per_s: 600, burst: 1.0, burst_s: (0, 0), cold_us: 0, absent_percent: 0 };
 
-/// The loads that are played.
+/// Loads on [`LARGE`].
 pub const LOADS: &[Load] = &[
     STEADY,
-    Load { name: "burst", per_s: 1_000, burst: 1.8, burst_s: (6, 9), gone_percent: 20, ..STEADY },
+    Load { name: "burst", per_s: 1_000, burst: 1.8, burst_s: (6, 9), absent_percent: 20, ..STEADY },
     Load { name: "long burst", per_s: 1_000, burst: 1.5, burst_s: (5, 10), ..STEADY },
     Load { name: "cold start", per_s: 860, cold_us: 3_000_000, ..STEADY },
 ];
 
-/// The loads that are played on [`ROUNDS`].
+/// Loads on [`ROUNDS`].
 pub const ROUNDS_LOADS: &[Load] = &[
     Load { per_s: 800, ..STEADY },
     Load { name: "burst", per_s: 970, burst: 2.2, burst_s: (6, 10), ..STEADY },
--- a/standin/src/overload/mod.rs
+++ b/standin/src/overload/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet under more load than it can carry, in virtual time: the product's own entries and gates
-//! against upstreams that swing, start cold, slow down when nearly full and call each other, with
-//! callers that come back when they are told to.
+//! Simulation of an overloaded fleet in virtual time: the product's own entries and gates run against
+//! upstreams that vary in speed, start cold, slow down when nearly full and call each other, with callers
+//! that retry when a refusal says so.
 //!
-//! Every run is decided by its seed alone. It reports what callers get, window by window, since the
-//! worst seconds of a day are those that they remember.
+//! A run is deterministic for a given seed. It reports the outcomes of callers per window, because a total
+//! would hide the worst seconds of a run.
 
 mod fleet;
 mod report;
@@ -16,7 +16,7 @@
 pub use report::{Report, Window};
 pub use world::run;
 
-/// Plays every load on its fleet and prints what callers get.
+/// Runs every load on its fleet and prints the outcomes of the callers.
 pub fn print(seconds: u64, seed: u64, only: &str) {
     for (fleet, name, loads) in [(&LARGE, "large", LOADS), (&ROUNDS, "rounds", ROUNDS_LOADS)] {
         for load in loads {
@@ -32,7 +32,7 @@
     let report = run(fleet, load, seconds, seed);
     println!("{}", report.line(title));
     report.windows.iter().for_each(|window| println!("  {window}"));
-    for (route, got) in fleet.routes.iter().zip(&report.routes) {
-        println!("  {}: {got}", route.name);
+    for (route, outcome) in fleet.routes.iter().zip(&report.routes) {
+        println!("  {}: {outcome}", route.name);
     }
 }
--- a/standin/src/overload/tests.rs
+++ b/standin/src/overload/tests.rs
@@ -1,91 +1,90 @@
-//! What callers get under loads that are more than the fleet can carry.
+//! Bounds on the outcomes of callers under loads that exceed the fleet's capacity.
 //!
-//! The figures that a case guards stand beside its bound: what the decision gave that it replaced, and
-//! what it gives, seed 1.
+//! The figures in the comments are measured with seed 1: without the rule that a test guards, and with it.
 
 use super::fleet::{LARGE, ROUNDS, ROUNDS_LOADS};
 use super::{Fleet, LOADS, Load, Report, Window, run};
 
 const SEED: u64 = 1;
 
-fn played(name: &str, seconds: u64) -> Report {
+fn run_large(name: &str, seconds: u64) -> Report {
     let load: &Load = LOADS.iter().find(|load| load.name == name).expect("a load of that name");
     run(&LARGE, load, seconds, SEED)
 }
 
 #[test]
-fn a_run_is_decided_by_its_seed() {
-    assert_eq!(played("steady", 2).windows, played("steady", 2).windows);
+fn run_is_deterministic_per_seed() {
+    assert_eq!(run_large("steady", 2).windows, run_large("steady", 2).windows);
 }
 
 #[test]
-fn what_callers_get_adds_up() {
-    let report = played("burst", 8);
+fn outcome_counts_add_up_to_callers() {
+    let report = run_large("burst", 8);
     let by_route: u64 = report.routes.iter().map(|route| route.callers).sum();
-    let Window { callers, in_time, late, refused, failed, .. } = report.whole();
+    let Window { callers, in_time, late, refused, failed, .. } = report.total();
     assert_eq!(by_route, callers);
     assert_eq!(in_time + late + refused + failed, callers);
 }
 
 #[test]
-fn a_fleet_within_its_load_serves_its_callers_in_time() {
-    let whole = played("steady", 6).whole();
-    assert!(whole.share() >= 0.98, "{whole}");
+fn fleet_within_capacity_serves_callers_within_objective() {
+    let total = run_large("steady", 6).total();
+    assert!(total.utility_share() >= 0.98, "{total}");
 }
 
-/// Load: all upstreams are cold and all callers are there, as after a loss of power. With the machines
-/// of cold upstreams taken for slow ones 0.583 of the two worst windows were served by worth; 0.64 now.
+/// All upstreams are cold under the full load, as after a power loss. While the machines of cold upstreams
+/// were treated as slow, the two worst windows reached 0.583 of their utility; now they reach 0.64.
 #[test]
-fn a_fleet_that_starts_cold_under_load_uses_all_its_upstreams() {
-    let report = played("cold start", 8);
-    assert!(report.worst() >= 0.62, "{}", report.line("cold start"));
+fn cold_fleet_under_load_uses_all_upstreams() {
+    let report = run_large("cold start", 8);
+    assert!(report.worst_share() >= 0.62, "{}", report.line("cold start"));
 }
 
-/// Load: 1.8 times the usual calls for three seconds, a fifth of the upstreams gone. With callers told to
-/// come back within a second 1,355 of 16,400 were served late, most of them after they had come back;
-/// 972 now (three seeds), and the share of worth went from 0.850 to 0.861.
+/// The load is 1.8 times the usual one for three seconds, with a fifth of the upstreams absent. When refused
+/// callers were told to retry within a second, 1,355 of 16,400 callers were served late, most of them on
+/// their retry; now 972 are (three seeds), and the share of utility is 0.861 instead of 0.850.
 #[test]
-fn callers_who_come_back_in_a_burst_are_in_time_or_leave_room_for_others() {
-    let report = played("burst", 14);
-    let whole = report.whole();
-    assert!(whole.late <= 1_150, "{}", report.line("burst"));
-    assert!(whole.share() >= 0.85, "{}", report.line("burst"));
+fn retries_in_burst_are_on_time_or_leave_capacity() {
+    let report = run_large("burst", 14);
+    let total = report.total();
+    assert!(total.late <= 1_150, "{}", report.line("burst"));
+    assert!(total.utility_share() >= 0.85, "{}", report.line("burst"));
 }
 
-/// The same load. Where opening a link that leaves its domain costs nothing 2,088 of them are opened,
-/// 1,341 now.
+/// The same load. When placement assigned no cost to opening a link to another failure domain, 2,088 of them
+/// were opened; now 1,341 are.
 #[test]
-fn calls_that_leave_their_domain_go_over_links_that_are_open() {
-    let report = played("burst", 14);
-    assert!(report.far_links <= 1_700, "{}", report.line("burst"));
+fn cross_domain_calls_reuse_open_links() {
+    let report = run_large("burst", 14);
+    assert!(report.cross_domain_links <= 1_700, "{}", report.line("burst"));
 }
 
-/// Load: everything has lost its power, all callers are there, and upstreams fall over when they get more
-/// than they bear while they are cold. With nothing that bounds what they get they fall over again and
-/// again, and the service with the most calls to each is not back at the end of the run.
+/// After a power loss the full load returns at once, and cold upstreams crash above a limit of calls in a
+/// second. Without a bound on the calls that they receive, they crash repeatedly, and the service with the
+/// most calls per upstream has not recovered at the end of the run.
 #[test]
-fn a_service_whose_upstreams_fall_over_while_cold_serves_again() {
+fn service_recovers_when_overloaded_cold_upstreams_crash() {
     let load = rounds_load("cold start");
-    let report = run(&ROUNDS, load, SECONDS_TO_RECOVER, SEED);
-    assert_eq!(report.falls, 0, "{}", report.line(load.name));
+    let report = run(&ROUNDS, load, RECOVERY_S, SEED);
+    assert_eq!(report.crashes, 0, "{}", report.line(load.name));
     let last = report.windows.last().expect("a window");
-    assert!(last.share() >= 0.95, "{}", report.line(load.name));
+    assert!(last.utility_share() >= 0.95, "{}", report.line(load.name));
 }
 
-/// The judge of the case above finds a fleet that is not bounded.
+/// Checks that the conditions of the test above fail for a fleet without the bound.
 #[test]
-fn without_a_bound_they_keep_falling_over() {
+fn unbounded_cold_starts_keep_crashing_upstreams() {
     let load = rounds_load("cold start");
     let unbounded = Fleet { cold_starts_per_s: None, ..ROUNDS };
-    let report = run(&unbounded, load, SECONDS_TO_RECOVER, SEED);
-    assert!(report.falls > 20, "{}", report.line(load.name));
+    let report = run(&unbounded, load, RECOVERY_S, SEED);
+    assert!(report.crashes > 20, "{}", report.line(load.name));
     let last = report.windows.last().expect("a window");
-    assert!(last.share() < 0.95, "{}", report.line(load.name));
+    assert!(last.utility_share() < 0.95, "{}", report.line(load.name));
 }
 
-/// Time within which a fleet is to serve all its callers after a loss of power: three seconds in which
-/// its upstreams are cold, and as long again.
-const SECONDS_TO_RECOVER: u64 = 8;
+/// Time within which a fleet has to serve all its callers after a power loss: the three seconds in which its
+/// upstreams are cold, and as long again to recover.
+const RECOVERY_S: u64 = 8;
 
 fn rounds_load(name: &str) -> &'static Load {
     ROUNDS_LOADS.iter().find(|load| load.name == name).expect("a load of that name")
--- a/standin/src/overload/upstream.rs
+++ b/standin/src/overload/upstream.rs
@@ -1,72 +1,72 @@
-//! A fake of an upstream: a machine whose speed swings, cold from its start, slower when nearly full, and
-//! down for a while when it gets more than it bears while it is cold.
+//! Model of an upstream: its machine varies in speed, it is cold after a start, slower when nearly full, and
+//! crashes and is down for a while when it receives too many calls while it is cold.
 
 use std::collections::VecDeque;
 
-/// How often a machine's speed is drawn anew, in microseconds.
-const SWING_US: u64 = 300_000;
-/// Share of these stretches in which it is slow.
+/// Period for which a machine keeps its speed.
+const SPEED_PERIOD_US: u64 = 300_000;
+/// Share of these periods in which the machine is slow.
 const SLOW_SHARE: f64 = 0.25;
-/// Factor of a run that begins on a slow machine.
+/// Factor on the time of a run that begins on a slow machine.
 const SLOW_FACTOR: f64 = 4.0;
-/// Factor of a run that begins on a cold upstream.
+/// Factor on the time of a run that begins on a cold upstream.
 const COLD_FACTOR: f64 = 2.0;
-/// Share of its slots from which on an upstream counts as nearly full.
-const KNEE: f64 = 0.8;
-/// Factor of a run that begins on one.
-const KNEE_FACTOR: f64 = 1.7;
-/// Spread of runs of one route around their average.
+/// Share of occupied slots above which an upstream is nearly full.
+const NEARLY_FULL_SHARE: f64 = 0.8;
+/// Factor on the time of a run that begins on a nearly full upstream.
+const NEARLY_FULL_FACTOR: f64 = 1.7;
+/// Spread of the times of a route's runs, relative to their mean.
 const SPREAD: f64 = 0.3;
 
-/// Time for which an upstream that fell over is down, in microseconds.
+/// Time for which a crashed upstream is down.
 const DOWN_US: u64 = 1_000_000;
-/// Span in which calls to a cold upstream count, in microseconds.
-const BEARS_WINDOW_US: u64 = 1_000_000;
+/// Window in which calls to a cold upstream are counted.
+const COLD_WINDOW_US: u64 = 1_000_000;
 
-/// What an upstream does with a call that reaches it.
+/// Response of an upstream to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reception {
-    /// It runs it.
+    /// The upstream runs the call.
     Runs,
-    /// It falls over, with all that it runs.
-    FallsOver,
-    /// It is down and takes no connection.
+    /// The upstream crashes, with all its runs.
+    Crashes,
+    /// The upstream is down and refuses the connection.
     Refuses,
 }
 
-/// One upstream with its machine.
+/// An upstream and its machine.
 #[derive(Debug)]
 pub struct Upstream {
     seed: u64,
     slots: u16,
     cold_until_us: u64,
-    /// For how long it is cold after a start, in microseconds.
+    /// Time for which it is cold after a start.
     cold_us: u64,
-    /// Calls within a second above which it falls over while it is cold.
-    cold_bears: Option<usize>,
-    /// When calls reached it while it was cold, within the last second.
-    reached_us: VecDeque<u64>,
+    /// Calls in a second above which it crashes while it is cold.
+    cold_calls_max: Option<usize>,
+    /// Arrivals of the calls of the last second, while it is cold.
+    cold_calls_us: VecDeque<u64>,
     down_until_us: u64,
-    /// Runs that it works on.
+    /// Current number of runs.
     pub running: u16,
 }
 
 impl Upstream {
-    /// Makes an upstream that is cold for a while from its start on.
-    pub fn new(seed: u64, slots: u16, cold_us: u64, cold_bears: Option<usize>) -> Self {
+    /// Creates an upstream that is cold for `cold_us` from the start of the run.
+    pub fn new(seed: u64, slots: u16, cold_us: u64, cold_calls_max: Option<usize>) -> Self {
         Self {
             seed,
             slots,
             cold_until_us: cold_us,
             cold_us,
-            cold_bears,
-            reached_us: VecDeque::new(),
+            cold_calls_max,
+            cold_calls_us: VecDeque::new(),
             down_until_us: 0,
             running: 0,
         }
     }
 
-    /// Takes a call that reaches it.
+    /// Receives a call, and crashes if the upstream is cold and above its limit of calls.
     pub fn receive(&mut self, now_us: u64) -> Reception {
         if now_us < self.down_until_us {
             return Reception::Refuses;
@@ -74,46 +74,45 @@
         if now_us >= self.cold_until_us {
             return Reception::Runs;
         }
-        self.reached_us.push_back(now_us);
-        while self.reached_us.front().is_some_and(|at_us| at_us + BEARS_WINDOW_US <= now_us) {
-            self.reached_us.pop_front();
+        self.cold_calls_us.push_back(now_us);
+        while self.cold_calls_us.front().is_some_and(|at_us| at_us + COLD_WINDOW_US <= now_us) {
+            self.cold_calls_us.pop_front();
         }
-        if self.cold_bears.is_none_or(|bears| self.reached_us.len() <= bears) {
+        if self.cold_calls_max.is_none_or(|calls_max| self.cold_calls_us.len() <= calls_max) {
             return Reception::Runs;
         }
-        self.reached_us.clear();
+        self.cold_calls_us.clear();
         self.down_until_us = now_us + DOWN_US;
         self.running = 0;
-        Reception::FallsOver
+        Reception::Crashes
     }
 
-    /// Starts again after it fell over; returns until when it is cold then, in microseconds.
-    pub fn start_again(&mut self, now_us: u64) -> u64 {
+    /// Restarts the upstream after a crash; returns the time at which it will be warm.
+    pub fn restart(&mut self, now_us: u64) -> u64 {
         self.cold_until_us = now_us + self.cold_us;
         self.cold_until_us
     }
 
-    /// Returns when it takes connections again after it fell over, in microseconds.
+    /// Returns the time at which it accepts connections again after a crash.
     pub fn down_until_us(&self) -> u64 {
         self.down_until_us
     }
 
-    /// Returns when it is warm, in microseconds.
+    /// Returns the time at which it is warm.
     pub fn cold_until_us(&self) -> u64 {
         self.cold_until_us
     }
 
-    /// Returns the factor by which other work on its machine slows it at a moment.
+    /// Returns the factor by which other work on the machine slows the upstream at `now_us`.
     fn slowdown(&self, now_us: u64) -> f64 {
-        let offset_us = self.seed % SWING_US;
-        let stretch = (now_us + offset_us) / SWING_US;
-        let mut rng = fastrand::Rng::with_seed(self.seed ^ stretch.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let offset_us = self.seed % SPEED_PERIOD_US;
+        let period = (now_us + offset_us) / SPEED_PERIOD_US;
+        let mut rng = fastrand::Rng::with_seed(self.seed ^ period.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         if rng.f64() < SLOW_SHARE { SLOW_FACTOR } else { 1.0 }
     }
 
-    /// Returns what its machine tells of its speed, in hundredths of the usual time of work: a cold
-    /// upstream takes longer as well.
-    pub fn told_percent(&self, now_us: u64) -> u16 {
+    /// Returns the measured time of work as a percentage of the usual one; a cold upstream takes longer as well.
+    pub fn reported_percent(&self, now_us: u64) -> u16 {
         (self.slowdown(now_us) * self.cold_factor(now_us) * 100.0) as u16
     }
 
@@ -121,14 +120,14 @@
         if now_us < self.cold_until_us { COLD_FACTOR } else { 1.0 }
     }
 
-    /// Returns how long a run takes that begins now, in microseconds; it keeps the speed of its start.
+    /// Returns the time of a run that begins now; it keeps the speed of its start.
     pub fn run_us(&self, work_us: u64, now_us: u64, rng: &mut fastrand::Rng) -> u64 {
         let cold = self.cold_factor(now_us);
-        let full = f64::from(self.running) > KNEE * f64::from(self.slots);
-        let knee = if full { KNEE_FACTOR } else { 1.0 };
-        // The sum of three even draws is close enough to a bell.
-        let bell = (rng.f64() + rng.f64() + rng.f64()) * 2.0 - 3.0;
-        let spread = (1.0 + SPREAD * bell).max(0.2);
-        (work_us as f64 * self.slowdown(now_us) * cold * knee * spread) as u64
+        let full = f64::from(self.running) > NEARLY_FULL_SHARE * f64::from(self.slots);
+        let full_factor = if full { NEARLY_FULL_FACTOR } else { 1.0 };
+        // The sum of three uniform draws approximates a normal distribution.
+        let deviation = (rng.f64() + rng.f64() + rng.f64()) * 2.0 - 3.0;
+        let spread = (1.0 + SPREAD * deviation).max(0.2);
+        (work_us as f64 * self.slowdown(now_us) * cold * full_factor * spread) as u64
     }
 }
--- a/standin/src/overload/world.rs
+++ b/standin/src/overload/world.rs
@@ -1,4 +1,4 @@
-//! The world of one run: callers, entries, gates and upstreams, and the queue of what happens next.
+//! State of one run: callers, entries, gates and upstreams, and the queue of scheduled events.
 
 mod entry;
 mod owner;
@@ -18,75 +18,75 @@
 use super::upstream::Upstream;
 use crate::event_queue::EventQueue;
 
-/// Way between two VMs of one failure domain and of two, in microseconds.
-const NEAR_US: u64 = 150;
-const FAR_US: u64 = 1_000;
-/// What the product takes the two for, there and back, in microseconds.
-const NEAR_COST_US: u32 = 100;
-const FAR_COST_US: u32 = 1_000;
-/// Way between a caller and an entry, in microseconds.
-const CALLER_US: u64 = 8_000;
-/// What the fleet promises of repeats.
-const PROMISE: RepeatPromise = RepeatPromise { percent: 20, reserve: 430, window_us: 10_000_000 };
+/// One-way delay between two VMs of the same failure domain and of different ones.
+const SAME_DOMAIN_US: u64 = 150;
+const CROSS_DOMAIN_US: u64 = 1_000;
+/// Round trips that the product assumes for the two.
+const SAME_DOMAIN_RTT_US: u32 = 100;
+const CROSS_DOMAIN_RTT_US: u32 = 1_000;
+/// One-way delay between a caller and an entry.
+const CALLER_DELAY_US: u64 = 8_000;
+/// Retry budget of the fleet.
+const RETRY_GUARANTEE: RepeatPromise = RepeatPromise { percent: 20, reserve: 430, window_us: 10_000_000 };
 
-/// What happens next.
+/// A scheduled event.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A caller comes.
+    /// A new caller arrives.
     Caller,
     /// A caller's call reaches its entry.
-    Tried { caller: usize },
+    CallerSends { caller: usize },
     /// An attempt reaches its owner.
-    Reach { call: usize, dispatch: Dispatch, vm: usize },
-    /// A cancel reaches the owner.
+    Arrive { call: usize, dispatch: Dispatch, vm: usize },
+    /// A cancellation reaches the owner.
     Cancel { call: usize, attempt: AttemptId, vm: usize },
-    /// An upstream has worked a run off.
-    Worked { run: usize },
-    /// A run's time is over.
-    Cut { run: usize },
-    /// A slot is free whose call passed its deadline.
+    /// An upstream has finished the work of a run.
+    WorkDone { run: usize },
+    /// The deadline of a run has passed.
+    RunDeadline { run: usize },
+    /// The slot of an attempt that ended without an answer is free again.
     Freed { vm: usize, attempt: AttemptId },
-    /// News reaches a call.
-    Told { call: usize, server: usize, event: CallEvent, load: LoadReport, work_us: u32 },
-    /// It is time to hedge.
+    /// An owner's message about an attempt reaches the entry of its call.
+    Update { call: usize, server: usize, event: CallEvent, load: LoadReport, work_us: u32 },
+    /// The hedge timer of a call expires.
     Hedge { call: usize },
-    /// A call's deadline.
+    /// The deadline of a call has passed.
     Deadline { call: usize },
-    /// A queue needs a look.
+    /// The timer of a gate's queue expires.
     Tick { vm: usize },
-    /// An upstream is warm, unless it has turned cold again.
+    /// An upstream is warm, unless it has restarted since and is cold again.
     Warm { vm: usize },
     /// An upstream refuses the connection of an attempt.
     Refused { vm: usize, attempt: AttemptId },
-    /// An upstream that fell over starts again.
-    Back { vm: usize },
+    /// A crashed upstream restarts.
+    Restart { vm: usize },
 }
 
-/// Who waits for a call.
+/// The source of a call, which waits for its answer.
 #[derive(Debug, Clone, Copy)]
-enum Maker {
+enum CallSource {
     /// A caller.
     Caller(usize),
     /// A run of an upstream.
     Run(usize),
 }
 
-/// A caller, and the call that it makes.
+/// A caller and its request, which it sends at most twice.
 struct Caller {
     route: usize,
     domain: usize,
     began_us: u64,
-    came_back: bool,
+    retried: bool,
 }
 
 /// A call at its entry.
 struct CallRecord {
     call: Call,
-    maker: Maker,
+    source: CallSource,
     route: usize,
     entry: usize,
     began_us: u64,
-    /// Time that its caller has waited before, in milliseconds.
+    /// Time that its caller waited before this call began.
     waited_ms: u32,
     deadline_us: u64,
     work_us: u32,
@@ -99,16 +99,16 @@
     attempt: AttemptId,
     began_us: u64,
     slowdown: f64,
-    told_percent: u16,
+    reported_percent: u16,
     work_us: u32,
-    /// Time that its own work takes, in microseconds.
+    /// Time that the run's own work takes, without its nested calls.
     own_us: u64,
-    /// Calls of its own that have no answer yet.
+    /// Nested calls that have no answer yet.
     calls_left: u8,
     over: bool,
 }
 
-/// What an owner knows of an attempt that it holds.
+/// An owner's record of an attempt that it holds.
 #[derive(Debug, Clone, Copy)]
 struct Held {
     call: usize,
@@ -117,11 +117,11 @@
     run: Option<usize>,
 }
 
-/// A VM: its upstream, its gate, and what the entry of its node knows.
+/// A VM: its upstream, its gate, and the views of the entry on its node.
 struct Vm {
     domain: usize,
     service: usize,
-    gone: bool,
+    absent: bool,
     gate: Gate,
     upstream: Upstream,
     views: Vec<ServiceView>,
@@ -132,7 +132,7 @@
     tick_us: Option<u64>,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     fleet: &'a Fleet,
     load: &'a Load,
     now_us: u64,
@@ -143,28 +143,28 @@
     calls: Vec<CallRecord>,
     runs: Vec<Run>,
     held: HashMap<AttemptId, Held>,
-    /// When a link that leaves its domain was last used.
-    far_links: HashMap<(usize, usize), u64>,
-    /// Draws arrivals, the same whatever is decided.
+    /// Last use of each link to another failure domain.
+    cross_domain_links: HashMap<(usize, usize), u64>,
+    /// Generator of the arrivals, which don't depend on any decision.
     arrivals: fastrand::Rng,
-    /// Draws everything else.
+    /// Generator of everything else.
     rng: fastrand::Rng,
     next_seq: u64,
     report: Report,
 }
 
-/// Plays one load on a fleet for some virtual seconds.
+/// Runs one load on a fleet for some virtual seconds.
 pub fn run(fleet: &Fleet, load: &Load, seconds: u64, seed: u64) -> Report {
-    let mut world = World::new(fleet, load, seconds * 1_000_000, seed);
-    world.queue.schedule(0, Event::Caller);
-    while let Some((at_us, event)) = world.queue.pop() {
-        world.now_us = at_us;
-        world.happen(event);
+    let mut simulation = Simulation::new(fleet, load, seconds * 1_000_000, seed);
+    simulation.queue.schedule(0, Event::Caller);
+    while let Some((at_us, event)) = simulation.queue.pop() {
+        simulation.now_us = at_us;
+        simulation.handle(event);
     }
-    world.report
+    simulation.report
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(fleet: &'a Fleet, load: &'a Load, end_us: u64, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut vms = Vec::new();
@@ -175,7 +175,7 @@
                 }
             }
         }
-        let mut world = Self {
+        let mut simulation = Self {
             fleet,
             load,
             now_us: 0,
@@ -186,50 +186,50 @@
             calls: Vec::new(),
             runs: Vec::new(),
             held: HashMap::new(),
-            far_links: HashMap::new(),
+            cross_domain_links: HashMap::new(),
             arrivals: fastrand::Rng::with_seed(seed ^ 0x1234),
             rng,
             next_seq: 1,
             report: Report::default(),
         };
-        world.introduce();
-        for vm in 0..world.vms.len() {
-            let warm_us = world.vms[vm].upstream.cold_until_us();
+        simulation.fill_views();
+        for vm in 0..simulation.vms.len() {
+            let warm_us = simulation.vms[vm].upstream.cold_until_us();
             if warm_us > 0 {
-                world.queue.schedule(warm_us, Event::Warm { vm });
+                simulation.queue.schedule(warm_us, Event::Warm { vm });
             }
         }
-        world
+        simulation
     }
 
-    /// Tells every entry of the upstreams that it considers.
-    fn introduce(&mut self) {
+    /// Fills the view of every entry with the upstreams that it considers.
+    fn fill_views(&mut self) {
         for entry in 0..self.vms.len() {
             for service in 0..self.fleet.services.len() {
                 let domain = self.vms[entry].domain;
-                let serving = (0..self.vms.len()).filter(|&vm| self.vms[vm].service == service && !self.vms[vm].gone);
+                let serving = (0..self.vms.len()).filter(|&vm| self.vms[vm].service == service && !self.vms[vm].absent);
                 let candidates = serving.map(|vm| self.candidate(vm)).collect();
                 let own = self.candidate(entry);
                 let chosen = considered(candidates, &own.domain, &own.vm);
                 let number = |candidate: &Candidate| usize::from(candidate.link_addr.port());
                 let targets: Vec<usize> = chosen.iter().map(number).collect();
                 for (server, &vm) in targets.iter().enumerate() {
-                    let far = self.vms[vm].domain != domain;
+                    let is_cross_domain = self.vms[vm].domain != domain;
                     let network_us = match () {
                         () if vm == entry => 0,
-                        () if far => FAR_COST_US,
-                        () => NEAR_COST_US,
+                        () if is_cross_domain => CROSS_DOMAIN_RTT_US,
+                        () => SAME_DOMAIN_RTT_US,
                     };
                     let view = &mut self.vms[entry].views[service];
                     view.set_present(server, true, network_us);
-                    view.set_far(server, far);
+                    view.set_far(server, is_cross_domain);
                 }
                 self.vms[entry].targets[service] = targets;
             }
         }
     }
 
-    /// Returns what the product knows of a VM; its number is its port.
+    /// Returns the product's description of a VM; its port is the VM's number.
     fn candidate(&self, vm: usize) -> Candidate {
         Candidate {
             vm: Arc::from(format!("vm-{vm}")),
@@ -240,41 +240,41 @@
         }
     }
 
-    fn later(&mut self, after_us: u64, event: Event) {
+    fn schedule_after(&mut self, after_us: u64, event: Event) {
         self.queue.schedule(self.now_us + after_us, event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Caller => self.caller_comes(),
-            Event::Tried { caller } => self.tried(caller),
-            Event::Reach { call, dispatch, vm } => self.reach(call, dispatch, vm),
+            Event::Caller => self.caller_arrives(),
+            Event::CallerSends { caller } => self.send_call(caller),
+            Event::Arrive { call, dispatch, vm } => self.arrive(call, dispatch, vm),
             Event::Cancel { call, attempt, vm } => self.cancel(call, attempt, vm),
-            Event::Worked { run } => self.worked(run),
-            Event::Cut { run } => self.cut(run),
-            Event::Freed { vm, attempt } => self.gate(vm, GateEvent::Done { attempt, healthy: false }),
-            Event::Told { call, server, event, load, work_us } => {
-                self.told(call, server, event, load, work_us);
+            Event::WorkDone { run } => self.work_done(run),
+            Event::RunDeadline { run } => self.run_deadline_passed(run),
+            Event::Freed { vm, attempt } => self.gate_event(vm, GateEvent::Done { attempt, healthy: false }),
+            Event::Update { call, server, event, load, work_us } => {
+                self.handle_update(call, server, event, load, work_us);
             }
-            Event::Hedge { call } => self.tell(call, CallEvent::HedgeDue),
-            Event::Deadline { call } => self.tell(call, CallEvent::DeadlineDue),
-            Event::Tick { vm } => self.ticked(vm),
+            Event::Hedge { call } => self.notify_call(call, CallEvent::HedgeDue),
+            Event::Deadline { call } => self.notify_call(call, CallEvent::DeadlineDue),
+            Event::Tick { vm } => self.handle_tick(vm),
             Event::Warm { vm } if self.now_us >= self.vms[vm].upstream.cold_until_us() => {
                 self.vms[vm].gate.warmed_up();
             }
             Event::Warm { .. } => {}
             Event::Refused { vm, attempt } => {
-                self.gate(vm, GateEvent::Refused { attempt, reason: BounceReason::Refused });
+                self.gate_event(vm, GateEvent::Refused { attempt, reason: BounceReason::Refused });
             }
-            Event::Back { vm } => self.back(vm),
+            Event::Restart { vm } => self.restart(vm),
         }
     }
 
-    fn way_us(&self, from: usize, to: usize) -> u64 {
+    fn delay_us(&self, from: usize, to: usize) -> u64 {
         match () {
             () if from == to => 0,
-            () if self.vms[from].domain == self.vms[to].domain => NEAR_US,
-            () => FAR_US,
+            () if self.vms[from].domain == self.vms[to].domain => SAME_DOMAIN_US,
+            () => CROSS_DOMAIN_US,
         }
     }
 }
@@ -298,12 +298,12 @@
     Vm {
         domain,
         service,
-        gone: rng.u64(0..100) < load.gone_percent,
+        absent: rng.u64(0..100) < load.absent_percent,
         gate,
-        upstream: Upstream::new(rng.u64(..), fleet.slots, load.cold_us, fleet.cold_bears),
+        upstream: Upstream::new(rng.u64(..), fleet.slots, load.cold_us, fleet.cold_calls_max),
         views: (0..services).map(|_| ServiceView::new(Policy::Valetrack)).collect(),
         targets: vec![Vec::new(); services],
-        budgets: (0..services).map(|_| Budgets::of_fleet(PROMISE, 0)).collect(),
+        budgets: (0..services).map(|_| Budgets::of_fleet(RETRY_GUARANTEE, 0)).collect(),
         works: vec![WorkEstimate::default(); fleet.routes.len()],
         tick_us: None,
     }
--- a/standin/src/overload/world/entry.rs
+++ b/standin/src/overload/world/entry.rs
@@ -1,72 +1,74 @@
-//! The callers' side of a world: who comes, what entries decide, what callers get.
+//! The callers' side of a run: arrivals, decisions of the entries, outcomes of the callers.
 
 use valetrack::gate::LoadReport;
 use valetrack::placement::{Call, CallAction, CallContext, CallEvent, CallRule, Verdict};
 
-use super::{CALLER_US, CallRecord, Caller, Event, Maker, World};
+use super::{CALLER_DELAY_US, CallRecord, CallSource, Caller, Event, Simulation};
 use crate::overload::report::Window;
 
-/// A link that rests this long is closed, in microseconds.
-const LINK_REST_US: u64 = 30_000_000;
+/// A link that is idle for this long is closed.
+const LINK_IDLE_US: u64 = 30_000_000;
 /// Bytes of the handshake of a link.
 const HANDSHAKE_BYTES: u64 = 4_300;
-/// Owners that may give a call back because they are full.
-const BOUNCES: u8 = 4;
-/// Longest part of its time that a caller stays away when it is told to, as a divisor.
-const AWAY_SHARE: u64 = 3;
-/// What a late answer is worth of one in time.
-const LATE_WORTH: f64 = 0.1;
+/// Owners that may decline a call because they are full.
+const DECLINES_MAX: u8 = 4;
+/// Divisor of the time left to a caller: the longest back-off before its retry.
+const BACKOFF_DIVISOR: u64 = 3;
+/// Utility of an answer after the objective, relative to one within it.
+const LATE_UTILITY: f64 = 0.1;
 
-impl World<'_> {
-    /// Lets a caller come, and plans the next one.
-    pub(super) fn caller_comes(&mut self) {
+impl Simulation<'_> {
+    /// Adds a caller and schedules the next one.
+    pub(super) fn caller_arrives(&mut self) {
         if self.now_us >= self.end_us {
             return;
         }
         let (from_s, to_s) = self.load.burst_s;
-        let bursts = (from_s * 1_000_000..to_s * 1_000_000).contains(&self.now_us);
-        let per_s = self.load.per_s as f64 * if bursts { self.load.burst } else { 1.0 };
+        let in_burst = (from_s * 1_000_000..to_s * 1_000_000).contains(&self.now_us);
+        let per_s = self.load.per_s as f64 * if in_burst { self.load.burst } else { 1.0 };
         let gap_us = -self.arrivals.f64().max(1e-12).ln() * 1e6 / per_s;
-        self.later(gap_us as u64, Event::Caller);
-        let route = drawn(self.fleet.routes.iter().map(|shape| shape.permille), &mut self.arrivals);
-        let domain = drawn(self.fleet.callers_permille.into_iter(), &mut self.arrivals);
+        self.schedule_after(gap_us as u64, Event::Caller);
+        let route = draw_index(self.fleet.routes.iter().map(|shape| shape.permille), &mut self.arrivals);
+        let domain = draw_index(self.fleet.callers_permille.into_iter(), &mut self.arrivals);
         let caller = self.callers.len();
-        self.callers.push(Caller { route, domain, began_us: self.now_us, came_back: false });
-        let worth = self.fleet.routes[route].worth;
-        self.report.count(self.now_us, route, &Window { callers: 1, owed: worth, ..Window::default() });
-        self.later(CALLER_US, Event::Tried { caller });
+        self.callers.push(Caller { route, domain, began_us: self.now_us, retried: false });
+        let utility = self.fleet.routes[route].utility;
+        self.report.count(self.now_us, route, &Window { callers: 1, utility_max: utility, ..Window::default() });
+        self.schedule_after(CALLER_DELAY_US, Event::CallerSends { caller });
     }
 
-    /// Puts a caller's call to an entry of its failure domain.
-    pub(super) fn tried(&mut self, caller: usize) {
+    /// Begins a caller's call at a random entry of its failure domain.
+    pub(super) fn send_call(&mut self, caller: usize) {
         let Caller { route, domain, began_us, .. } = self.callers[caller];
         let entries: Vec<usize> = (0..self.vms.len()).filter(|&vm| self.vms[vm].domain == domain).collect();
         let entry = entries[self.rng.usize(..entries.len())];
         let waits_us = u64::from(self.fleet.routes[route].deadline_ms) * 1000;
-        self.begin(Maker::Caller(caller), route, entry, began_us + waits_us);
+        self.begin(CallSource::Caller(caller), route, entry, began_us + waits_us);
     }
 
     /// Begins a call at an entry.
-    pub(super) fn begin(&mut self, maker: Maker, route: usize, entry: usize, deadline_us: u64) {
+    pub(super) fn begin(&mut self, source: CallSource, route: usize, entry: usize, deadline_us: u64) {
         let shape = &self.fleet.routes[route];
-        let waited_ms = match maker {
-            Maker::Caller(caller) => ((self.now_us - CALLER_US - self.callers[caller].began_us) / 1000) as u32,
-            Maker::Run(_) => 0,
+        let waited_ms = match source {
+            CallSource::Caller(caller) => {
+                ((self.now_us - CALLER_DELAY_US - self.callers[caller].began_us) / 1000) as u32
+            }
+            CallSource::Run(_) => 0,
         };
         let objective_ms = shape.objective_ms.saturating_sub(waited_ms).max(1);
         let demand = self.vms[entry].works[route].demand(objective_ms);
         let rule = CallRule {
             repeatable: shape.repeatable,
-            bounces: BOUNCES,
+            bounces: DECLINES_MAX,
             retries: u8::from(shape.repeatable),
             hedge_after_percent: None,
             demand: Some(demand),
         };
         let number = self.calls.len();
-        let call = Call::new(rule, 1).made_by_run(matches!(maker, Maker::Run(_)));
+        let call = Call::new(rule, 1).made_by_run(matches!(source, CallSource::Run(_)));
         self.calls.push(CallRecord {
             call,
-            maker,
+            source,
             route,
             entry,
             began_us: self.now_us,
@@ -76,11 +78,11 @@
             healthy: true,
         });
         self.queue.schedule(deadline_us.max(self.now_us), Event::Deadline { call: number });
-        self.tell(number, CallEvent::Begin);
+        self.notify_call(number, CallEvent::Begin);
     }
 
-    /// Tells a call of an event and does what it decides.
-    pub(super) fn tell(&mut self, number: usize, event: CallEvent) {
+    /// Delivers an event to a call and executes the actions that the call returns.
+    pub(super) fn notify_call(&mut self, number: usize, event: CallEvent) {
         if self.calls[number].call.finished() {
             return;
         }
@@ -99,11 +101,11 @@
         if record.call.finished() {
             record.call.abandon(&mut cx);
         }
-        actions.into_iter().for_each(|action| self.act(number, action));
+        actions.into_iter().for_each(|action| self.execute(number, action));
     }
 
-    /// Does what a call has decided.
-    pub(super) fn act(&mut self, call: usize, action: CallAction) {
+    /// Executes an action of a call.
+    pub(super) fn execute(&mut self, call: usize, action: CallAction) {
         let CallRecord { entry, route, .. } = self.calls[call];
         let targets = &self.vms[entry].targets[self.fleet.routes[route].service];
         match action {
@@ -111,34 +113,41 @@
                 let vm = targets[dispatch.server];
                 self.report.sends += 1;
                 if self.vms[vm].domain != self.vms[entry].domain {
-                    self.report.far_sends += 1;
-                    self.report.far_bytes += self.fleet.routes[route].bytes / 2;
-                    self.use_far_link(entry, vm);
+                    self.report.cross_domain_sends += 1;
+                    self.report.cross_domain_bytes += self.fleet.routes[route].bytes / 2;
+                    self.use_cross_domain_link(entry, vm);
                 }
-                let way_us = self.way_us(entry, vm);
-                self.later(way_us, Event::Reach { call, dispatch, vm });
+                let delay_us = self.delay_us(entry, vm);
+                self.schedule_after(delay_us, Event::Arrive { call, dispatch, vm });
             }
             CallAction::Cancel { attempt, server } => {
                 let vm = targets[server];
-                let way_us = self.way_us(entry, vm);
-                self.later(way_us, Event::Cancel { call, attempt, vm });
+                let delay_us = self.delay_us(entry, vm);
+                self.schedule_after(delay_us, Event::Cancel { call, attempt, vm });
             }
-            CallAction::ArmHedge { after_us } => self.later(after_us, Event::Hedge { call }),
+            CallAction::ArmHedge { after_us } => self.schedule_after(after_us, Event::Hedge { call }),
             CallAction::Finish(verdict) => self.finish(call, verdict),
         }
     }
 
-    /// Counts the handshake of a link that leaves the domain, if none is open.
-    pub(super) fn use_far_link(&mut self, from: usize, to: usize) {
-        let last_us = self.far_links.insert((from, to), self.now_us);
-        if last_us.is_none_or(|last_us| self.now_us > last_us + LINK_REST_US) {
-            self.report.far_links += 1;
-            self.report.far_bytes += HANDSHAKE_BYTES;
+    /// Counts the handshake of a link to another failure domain if none is open.
+    pub(super) fn use_cross_domain_link(&mut self, from: usize, to: usize) {
+        let last_us = self.cross_domain_links.insert((from, to), self.now_us);
+        if last_us.is_none_or(|last_us| self.now_us > last_us + LINK_IDLE_US) {
+            self.report.cross_domain_links += 1;
+            self.report.cross_domain_bytes += HANDSHAKE_BYTES;
         }
     }
 
-    /// Brings news of an owner to a call and to its entry's view.
-    pub(super) fn told(&mut self, call: usize, server: usize, event: CallEvent, load: LoadReport, work_us: u32) {
+    /// Delivers an owner's message to a call and records its load report in the view of the entry.
+    pub(super) fn handle_update(
+        &mut self,
+        call: usize,
+        server: usize,
+        event: CallEvent,
+        load: LoadReport,
+        work_us: u32,
+    ) {
         let CallRecord { entry, route, .. } = self.calls[call];
         let service = self.fleet.routes[route].service;
         self.vms[entry].views[service].report(server, load, self.now_us);
@@ -148,21 +157,21 @@
         if work_us > 0 && !self.calls[call].call.finished() {
             self.vms[entry].works[route].ran(work_us);
         }
-        self.tell(call, event);
+        self.notify_call(call, event);
     }
 
-    /// Ends a call for whoever made it.
+    /// Reports the outcome of a call to its source.
     pub(super) fn finish(&mut self, call: usize, verdict: Verdict) {
-        let CallRecord { maker, healthy, .. } = self.calls[call];
+        let CallRecord { source, healthy, .. } = self.calls[call];
         let served = matches!(verdict, Verdict::Answer(_)) && healthy;
-        match maker {
-            Maker::Run(run) => self.nested_ended(run, served),
-            Maker::Caller(caller) if served => self.served(caller),
-            Maker::Caller(caller) => self.turned_away(caller, verdict),
+        match source {
+            CallSource::Run(run) => self.nested_ended(run, served),
+            CallSource::Caller(caller) if served => self.record_served(caller),
+            CallSource::Caller(caller) => self.handle_not_served(caller, verdict),
         }
     }
 
-    /// Ends a call that a run made; the run goes on to its own work after the last one.
+    /// Ends a nested call; the run begins its own work after the last one, and fails with the first that failed.
     pub(super) fn nested_ended(&mut self, run: usize, served: bool) {
         if self.runs[run].over {
             return;
@@ -173,48 +182,48 @@
         }
         self.runs[run].calls_left -= 1;
         if self.runs[run].calls_left == 0 {
-            self.work(run);
+            self.begin_work(run);
         }
     }
 
-    /// Counts a caller who was served.
-    pub(super) fn served(&mut self, caller: usize) {
+    /// Records a caller that was served.
+    pub(super) fn record_served(&mut self, caller: usize) {
         let Caller { route, began_us, .. } = self.callers[caller];
         let shape = &self.fleet.routes[route];
-        let took_us = self.now_us + CALLER_US - began_us;
-        let got = match took_us <= u64::from(shape.objective_ms) * 1000 {
-            true => Window { in_time: 1, earned: shape.worth, ..Window::default() },
-            false => Window { late: 1, earned: shape.worth * LATE_WORTH, ..Window::default() },
+        let took_us = self.now_us + CALLER_DELAY_US - began_us;
+        let outcome = match took_us <= u64::from(shape.objective_ms) * 1000 {
+            true => Window { in_time: 1, utility: shape.utility, ..Window::default() },
+            false => Window { late: 1, utility: shape.utility * LATE_UTILITY, ..Window::default() },
         };
-        self.report.count(began_us, route, &got);
+        self.report.count(began_us, route, &outcome);
     }
 
-    /// Has a caller come back, or counts what it got.
-    pub(super) fn turned_away(&mut self, caller: usize, verdict: Verdict) {
-        let Caller { route, began_us, came_back, .. } = self.callers[caller];
+    /// Schedules the retry of a caller that was not served, or records its outcome.
+    pub(super) fn handle_not_served(&mut self, caller: usize, verdict: Verdict) {
+        let Caller { route, began_us, retried, .. } = self.callers[caller];
         let shape = &self.fleet.routes[route];
         let left_us = (began_us + u64::from(shape.deadline_ms) * 1000).saturating_sub(self.now_us);
-        let away_us = match verdict {
+        let backoff_us = match verdict {
             Verdict::NotRun { retry_after_ms, .. } => {
-                Some((u64::from(retry_after_ms) * 1000).min(left_us / AWAY_SHARE))
+                Some((u64::from(retry_after_ms) * 1000).min(left_us / BACKOFF_DIVISOR))
             }
             Verdict::Answer(_) | Verdict::Unknown { .. } => shape.repeatable.then_some(0),
         };
-        if let (Some(away_us), false, true) = (away_us, came_back, left_us > 0) {
-            self.callers[caller].came_back = true;
-            self.later(away_us + 2 * CALLER_US, Event::Tried { caller });
+        if let (Some(backoff_us), false, true) = (backoff_us, retried, left_us > 0) {
+            self.callers[caller].retried = true;
+            self.schedule_after(backoff_us + 2 * CALLER_DELAY_US, Event::CallerSends { caller });
             return;
         }
-        let got = match verdict {
+        let outcome = match verdict {
             Verdict::NotRun { .. } => Window { refused: 1, ..Window::default() },
             Verdict::Answer(_) | Verdict::Unknown { .. } => Window { failed: 1, ..Window::default() },
         };
-        self.report.count(began_us, route, &got);
+        self.report.count(began_us, route, &outcome);
     }
 }
 
-/// Draws a place by shares of a thousand.
-fn drawn(shares: impl Iterator<Item = u32>, rng: &mut fastrand::Rng) -> usize {
+/// Draws an index by weights that add up to a thousand.
+fn draw_index(shares: impl Iterator<Item = u32>, rng: &mut fastrand::Rng) -> usize {
     let drawn = rng.u32(0..1_000);
     let mut below = 0;
     for (at, permille) in shares.enumerate() {
--- a/standin/src/overload/world/owner.rs
+++ b/standin/src/overload/world/owner.rs
@@ -1,4 +1,4 @@
-//! The owners' side of a world: gates, runs at upstreams, replies.
+//! The owners' side of a run: gates, upstreams, replies.
 
 use std::sync::Arc;
 
@@ -7,64 +7,65 @@
 use valetrack::link::message::CallHead;
 use valetrack::placement::{CallEvent, Dispatch};
 
-use super::{CallRecord, Event, Held, Maker, Run, World};
+use super::{CallRecord, CallSource, Event, Held, Run, Simulation};
 use crate::overload::fleet::RouteShape;
 use crate::overload::upstream::Reception;
 
-/// A slot whose call passed its deadline stays taken this long, in microseconds.
-const LINGER_US: u64 = 100_000;
-/// Shortest pause between two looks at a queue, in microseconds.
+/// Time for which the slot of a run stays occupied after its deadline.
+const SLOT_HOLD_US: u64 = 100_000;
+/// Shortest time until the next tick of a gate's queue.
 const TICK_MIN_US: u64 = 200;
 
-impl World<'_> {
-    /// Puts an attempt to the gate of its owner.
-    pub(super) fn reach(&mut self, call: usize, dispatch: Dispatch, vm: usize) {
+impl Simulation<'_> {
+    /// Delivers an attempt to the gate of its owner.
+    pub(super) fn arrive(&mut self, call: usize, dispatch: Dispatch, vm: usize) {
         let Dispatch { attempt, patience, elsewhere_permille, server, .. } = dispatch;
         let record = &self.calls[call];
-        let gone_ms = record.waited_ms + ((self.now_us - record.began_us) / 1000) as u32;
+        let elapsed_ms = record.waited_ms + ((self.now_us - record.began_us) / 1000) as u32;
         let shape = &self.fleet.routes[record.route];
         let left_ms = (record.deadline_us.saturating_sub(self.now_us) / 1000) as u32;
-        let head = CallHead { elsewhere_permille, work_us: record.work_us, ..head(shape, attempt, gone_ms, left_ms) };
-        let internal = matches!(record.maker, Maker::Run(_));
+        let head =
+            CallHead { elsewhere_permille, work_us: record.work_us, ..head(shape, attempt, elapsed_ms, left_ms) };
+        let internal = matches!(record.source, CallSource::Run(_));
         let priority = if internal { 0 } else { shape.priority + 1 };
         let deadline_us = record.deadline_us;
         self.held.insert(attempt, Held { call, server, deadline_us, run: None });
         let machine = &mut self.vms[vm];
         if machine.gate.wants_news(record.work_us.into(), self.now_us) {
             machine.gate.asked(self.now_us);
-            machine.gate.told(machine.upstream.told_percent(self.now_us), self.now_us);
+            machine.gate.told(machine.upstream.reported_percent(self.now_us), self.now_us);
         }
         let objective = objective(&head, internal);
-        self.gate(vm, GateEvent::Arrive { attempt, deadline_us, patience, priority, objective });
+        self.gate_event(vm, GateEvent::Arrive { attempt, deadline_us, patience, priority, objective });
     }
 
-    /// Takes an attempt back; a run that may repeat is stopped.
+    /// Cancels an attempt; a run of a repeatable route is stopped.
     pub(super) fn cancel(&mut self, call: usize, attempt: AttemptId, vm: usize) {
         let run = self.held.get(&attempt).and_then(|held| held.run);
         if let Some(run) = run.filter(|_| self.fleet.routes[self.calls[call].route].repeatable) {
-            // The closed connection tells the upstream to stop.
+            // The upstream stops the run when its connection closes.
             if !std::mem::replace(&mut self.runs[run].over, true) {
                 self.vms[vm].upstream.running -= 1;
-                self.gate(vm, GateEvent::Done { attempt, healthy: true });
+                self.gate_event(vm, GateEvent::Done { attempt, healthy: true });
             }
             return;
         }
-        self.gate(vm, GateEvent::Cancel { attempt });
+        self.gate_event(vm, GateEvent::Cancel { attempt });
     }
 
-    /// Looks at a queue again, and asks the machine where calls wait for it.
-    pub(super) fn ticked(&mut self, vm: usize) {
+    /// Handles a tick of a gate, which first measures the machine's speed where calls wait for it.
+    pub(super) fn handle_tick(&mut self, vm: usize) {
         let machine = &mut self.vms[vm];
         machine.tick_us = None;
         if machine.gate.asks_about_episode(self.now_us) {
             machine.gate.asked(self.now_us);
-            machine.gate.told(machine.upstream.told_percent(self.now_us), self.now_us);
+            machine.gate.told(machine.upstream.reported_percent(self.now_us), self.now_us);
         }
-        self.gate(vm, GateEvent::Tick);
+        self.gate_event(vm, GateEvent::Tick);
     }
 
-    /// Lets a gate take an event and does what it orders.
-    pub(super) fn gate(&mut self, vm: usize, event: GateEvent) {
+    /// Delivers an event to a gate and executes the actions that the gate returns.
+    pub(super) fn gate_event(&mut self, vm: usize, event: GateEvent) {
         let mut actions = Vec::new();
         self.vms[vm].gate.handle(event, self.now_us, &mut actions);
         for action in actions {
@@ -78,11 +79,11 @@
                 }
             }
         }
-        self.plan_tick(vm);
+        self.schedule_tick(vm);
     }
 
-    /// Plans the next look at a queue.
-    pub(super) fn plan_tick(&mut self, vm: usize) {
+    /// Schedules the next tick of a gate.
+    pub(super) fn schedule_tick(&mut self, vm: usize) {
         let Some(at_us) = self.vms[vm].gate.next_tick_us(self.now_us) else {
             return;
         };
@@ -93,17 +94,17 @@
         }
     }
 
-    /// Starts a run, with the calls that it makes first.
+    /// Starts a run with its nested calls, or with its own work where it makes none.
     pub(super) fn start(&mut self, vm: usize, attempt: AttemptId) {
         let Held { call, deadline_us, .. } = self.held[&attempt];
         match self.vms[vm].upstream.receive(self.now_us) {
             Reception::Runs => {}
             Reception::Refuses => {
-                self.later(0, Event::Refused { vm, attempt });
+                self.schedule_after(0, Event::Refused { vm, attempt });
                 return;
             }
-            Reception::FallsOver => {
-                self.falls_over(vm, attempt);
+            Reception::Crashes => {
+                self.crash(vm, attempt);
                 return;
             }
         }
@@ -116,7 +117,7 @@
             attempt,
             began_us: self.now_us,
             slowdown: machine.gate.slowdown(self.now_us),
-            told_percent: machine.gate.told_percent(self.now_us),
+            reported_percent: machine.gate.told_percent(self.now_us),
             work_us: self.calls[call].work_us,
             own_us,
             calls_left: 0,
@@ -128,21 +129,21 @@
         if let Some(held) = self.held.get_mut(&attempt) {
             held.run = Some(number);
         }
-        self.queue.schedule(deadline_us.max(self.now_us), Event::Cut { run: number });
+        self.queue.schedule(deadline_us.max(self.now_us), Event::RunDeadline { run: number });
         match self.fleet.routes[route].nested.filter(|nested| self.rng.f64() < nested.share) {
-            None => self.work(number),
+            None => self.begin_work(number),
             Some(nested) => {
                 self.runs[number].calls_left = nested.times;
                 for _ in 0..nested.times {
-                    self.begin(Maker::Run(number), nested.route, vm, deadline_us);
+                    self.begin(CallSource::Run(number), nested.route, vm, deadline_us);
                 }
             }
         }
     }
 
-    /// Ends all that an upstream runs, and the attempt that was too much for it; none has an answer.
-    fn falls_over(&mut self, vm: usize, attempt: AttemptId) {
-        self.report.falls += 1;
+    /// Fails all runs of an upstream that crashes, and the attempt that caused the crash.
+    fn crash(&mut self, vm: usize, attempt: AttemptId) {
+        self.report.crashes += 1;
         let lost: Vec<usize> =
             (0..self.runs.len()).filter(|&run| self.runs[run].vm == vm && !self.runs[run].over).collect();
         let mut attempts = vec![attempt];
@@ -152,28 +153,28 @@
         }
         for attempt in attempts {
             self.reply(vm, attempt, CallEvent::Failed { attempt, code: Code::ServerFailed }, 0);
-            self.later(0, Event::Freed { vm, attempt });
+            self.schedule_after(0, Event::Freed { vm, attempt });
         }
         let back_us = self.vms[vm].upstream.down_until_us();
-        self.queue.schedule(back_us, Event::Back { vm });
+        self.queue.schedule(back_us, Event::Restart { vm });
     }
 
-    /// Starts an upstream again, which announces itself.
-    pub(super) fn back(&mut self, vm: usize) {
+    /// Restarts a crashed upstream, which registers with its gate.
+    pub(super) fn restart(&mut self, vm: usize) {
         let machine = &mut self.vms[vm];
-        let cold_until_us = machine.upstream.start_again(self.now_us);
+        let cold_until_us = machine.upstream.restart(self.now_us);
         machine.gate.set_cold(cold_until_us, self.now_us);
         self.queue.schedule(cold_until_us, Event::Warm { vm });
-        self.gate(vm, GateEvent::Open);
+        self.gate_event(vm, GateEvent::Open);
     }
 
-    /// Begins the own work of a run.
-    pub(super) fn work(&mut self, run: usize) {
-        self.later(self.runs[run].own_us, Event::Worked { run });
+    /// Begins the run's own work.
+    pub(super) fn begin_work(&mut self, run: usize) {
+        self.schedule_after(self.runs[run].own_us, Event::WorkDone { run });
     }
 
-    /// Ends a run whose work is done.
-    pub(super) fn worked(&mut self, run: usize) {
+    /// Ends a run whose work is done, unless it has ended before.
+    pub(super) fn work_done(&mut self, run: usize) {
         if !self.runs[run].over {
             self.end_run(run, true);
         }
@@ -183,53 +184,53 @@
     pub(super) fn end_run(&mut self, number: usize, healthy: bool) {
         let run = &mut self.runs[number];
         run.over = true;
-        let Run { vm, attempt, began_us, slowdown, told_percent, work_us, .. } = *run;
+        let Run { vm, attempt, began_us, slowdown, reported_percent, work_us, .. } = *run;
         let machine = &mut self.vms[vm];
         machine.upstream.running -= 1;
-        machine.gate.told(machine.upstream.told_percent(self.now_us), self.now_us);
+        machine.gate.told(machine.upstream.reported_percent(self.now_us), self.now_us);
         let ran_us = self.now_us - began_us;
         let unslowed_us = machine.gate.unslowed_us(ran_us, slowdown, machine.gate.slowdown(self.now_us));
         let times = RunTimes {
             ran_us,
             unslowed_us,
             work_us: work_us.into(),
-            start_percent: told_percent,
+            start_percent: reported_percent,
             end_percent: machine.gate.told_percent(self.now_us),
         };
         machine.gate.ran(attempt, times, healthy);
-        let told_us = if healthy { unslowed_us as u32 } else { 0 };
-        self.reply(vm, attempt, CallEvent::Ran { attempt, healthy }, told_us);
-        self.gate(vm, GateEvent::Done { attempt, healthy });
+        let reported_us = if healthy { unslowed_us as u32 } else { 0 };
+        self.reply(vm, attempt, CallEvent::Ran { attempt, healthy }, reported_us);
+        self.gate_event(vm, GateEvent::Done { attempt, healthy });
     }
 
-    /// Ends a run whose deadline has passed.
-    pub(super) fn cut(&mut self, number: usize) {
+    /// Fails a run whose deadline has passed; its slot stays occupied for a while.
+    pub(super) fn run_deadline_passed(&mut self, number: usize) {
         if std::mem::replace(&mut self.runs[number].over, true) {
             return;
         }
         let Run { vm, attempt, .. } = self.runs[number];
         self.vms[vm].upstream.running -= 1;
         self.reply(vm, attempt, CallEvent::Failed { attempt, code: Code::DeadlinePassed }, 0);
-        self.later(LINGER_US, Event::Freed { vm, attempt });
+        self.schedule_after(SLOT_HOLD_US, Event::Freed { vm, attempt });
     }
 
-    /// Sends an owner's word on an attempt to its entry.
+    /// Sends an owner's message about an attempt to its entry, with a load report.
     pub(super) fn reply(&mut self, vm: usize, attempt: AttemptId, event: CallEvent, work_us: u32) {
         let Some(&Held { call, server, .. }) = self.held.get(&attempt) else {
             return;
         };
         let CallRecord { entry, route, .. } = self.calls[call];
         if matches!(event, CallEvent::Ran { .. }) && self.vms[vm].domain != self.vms[entry].domain {
-            self.report.far_bytes += self.fleet.routes[route].bytes / 2;
+            self.report.cross_domain_bytes += self.fleet.routes[route].bytes / 2;
         }
         let load = self.vms[vm].gate.load(self.now_us);
-        let way_us = self.way_us(entry, vm);
-        self.later(way_us, Event::Told { call, server, event, load, work_us });
+        let delay_us = self.delay_us(entry, vm);
+        self.schedule_after(delay_us, Event::Update { call, server, event, load, work_us });
     }
 }
 
-/// Makes the head of an attempt as far as a gate looks at it.
-fn head(shape: &RouteShape, attempt: AttemptId, gone_ms: u32, left_ms: u32) -> CallHead {
+/// Creates the head of an attempt with the fields that a gate reads.
+fn head(shape: &RouteShape, attempt: AttemptId, elapsed_ms: u32, left_ms: u32) -> CallHead {
     let nothing: Arc<str> = Arc::from("");
     CallHead {
         attempt,
@@ -243,7 +244,7 @@
         headers: Vec::new(),
         body_bytes: 0,
         deadline_ms: left_ms,
-        objective_ms: shape.objective_ms.saturating_sub(gone_ms).max(1),
+        objective_ms: shape.objective_ms.saturating_sub(elapsed_ms).max(1),
         work_us: 0,
         elsewhere_permille: 0,
         priority: shape.priority,
