--- a/standin/src/bench/mod.rs
+++ b/standin/src/bench/mod.rs
@@ -1,6 +1,6 @@
-//! The bench: placement and gate in virtual time, against small fakes of servers.
+//! Benchmark of placement and gate in virtual time, against simple models of servers.
 //!
-//! Every run is decided by its seed alone, so that a figure that moved was moved by a change.
+//! A run is deterministic for a given seed, so that a figure differs only after a change of the code.
 
 mod report;
 mod scenario;
@@ -12,37 +12,37 @@
 use std::path::PathBuf;
 
 pub use report::Row;
-pub use scenario::{Contender, SCENARIOS, Scenario, contenders};
+pub use scenario::{Candidate, SCENARIOS, Scenario, candidates};
 pub use world::run as run_one;
 
 /// Settings of the bench.
 #[derive(Debug, Clone)]
 pub struct BenchSettings {
-    /// Virtual length of each run, in seconds.
+    /// Virtual length of each run.
     pub seconds: u64,
-    /// Seed.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Where the plot goes.
+    /// File that the plot is written to.
     pub plot: Option<PathBuf>,
-    /// Only scenarios whose name holds this text.
+    /// Runs only scenarios whose name contains this text.
     pub only: String,
-    /// Only contenders whose name holds this text.
+    /// Runs only candidates whose name contains this text.
     pub policy: String,
 }
 
-/// Runs every contender in every scenario and prints a table.
+/// Runs every candidate in every scenario and prints a table.
 ///
 /// # Errors
 ///
-/// Returns why the plot could not be written.
+/// Returns the reason if the plot could not be written.
 pub fn run(settings: &BenchSettings) -> Result<(), String> {
     report::head();
     for scenario in SCENARIOS.iter().filter(|scenario| scenario.name.contains(&settings.only)) {
-        let wanted = |contender: &&Contender| contender.name.contains(&settings.policy);
-        let contenders = contenders();
-        let rows = contenders.iter().filter(wanted);
+        let wanted = |candidate: &&Candidate| candidate.name.contains(&settings.policy);
+        let candidates = candidates();
+        let rows = candidates.iter().filter(wanted);
         let rows: Vec<Row> =
-            rows.map(|contender| run_one(scenario, contender, settings.seconds, settings.seed)).collect();
+            rows.map(|candidate| run_one(scenario, candidate, settings.seconds, settings.seed)).collect();
         rows.iter().for_each(report::line);
         if let (Some(path), true) = (&settings.plot, scenario.name == "mlekopot 80%") {
             report::plot(path, scenario.name, &rows)?;
--- a/standin/src/bench/scenario.rs
+++ b/standin/src/bench/scenario.rs
@@ -1,46 +1,46 @@
-//! What is run: users' sizes, load, trouble, and the policies that contend.
+//! Input of a run: scenarios with users' sizes, load and faults, and the candidate policies.
 
 use valetrack::placement::{CallRule, Policy};
 
-/// Trouble that one or more servers make.
+/// Fault of servers, or burst of load, during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
-    /// None but the neighbours.
+pub enum Fault {
+    /// None but the stalls.
     None,
-    /// The first server works at a tenth of its speed from one second on.
+    /// The first server runs at a tenth of its speed after one second.
     Slow,
-    /// The first server fails at once from one second on.
+    /// The first server fails every call at once after one second.
     FailFast,
-    /// All servers but one fail at once from one second to two.
+    /// All servers but the first fail every call at once between one and two seconds.
     MostFail,
-    /// Twice the load from one second to two.
+    /// The load doubles between one and two seconds.
     Burst,
 }
 
-/// One setting of the world.
+/// Conditions of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
     /// Name.
     pub name: &'static str,
-    /// Servers of the service.
+    /// Number of servers.
     pub servers: usize,
-    /// Slots of each.
+    /// Slots of each server.
     pub slots: u16,
-    /// Nodes that callers come to.
+    /// Number of entries.
     pub entries: usize,
-    /// Mean service time, in microseconds.
+    /// Mean service time.
     pub service_us: u64,
-    /// One way between failure domains, in microseconds.
+    /// One-way delay between failure domains.
     pub domain_us: u64,
-    /// Load, in hundredths of what the servers can do beside their neighbours.
+    /// Load relative to the capacity that the stalls leave to the servers.
     pub load_percent: u64,
-    /// Mean pause between two stalls of one server, in microseconds; zero for none.
+    /// Mean time between two stalls of one server; zero for none.
     pub noise_every_us: u64,
-    /// Whether the load swings between half and one and a half within milliseconds.
-    pub swing: bool,
-    /// Trouble.
-    pub trouble: Trouble,
-    /// Whether the work may repeat.
+    /// Whether the load alternates between half and one and a half times its mean within milliseconds.
+    pub varying_load: bool,
+    /// Injected fault.
+    pub fault: Fault,
+    /// Whether a call may run more than once.
     pub repeatable: bool,
 }
 
@@ -53,8 +53,8 @@
     domain_us: 1_000,
     load_percent: 80,
     noise_every_us: 400_000,
-    swing: true,
-    trouble: Trouble::None,
+    varying_load: true,
+    fault: Fault::None,
     repeatable: true,
 };
 const FEDERATION: Scenario = Scenario { name: "federation 80%", slots: 6, entries: 14, domain_us: 500, ..MLEKOPOT };
@@ -70,40 +70,40 @@
     Scenario { name: "federation 120%", load_percent: 120, ..FEDERATION },
     Scenario { name: "mlekopot calm", noise_every_us: 0, load_percent: 60, ..MLEKOPOT },
     Scenario { name: "mlekopot three left", servers: 3, load_percent: 80, ..MLEKOPOT },
-    Scenario { name: "mlekopot slow server", load_percent: 60, trouble: Trouble::Slow, ..MLEKOPOT },
+    Scenario { name: "mlekopot slow server", load_percent: 60, fault: Fault::Slow, ..MLEKOPOT },
     Scenario { name: "mlekopot healthy 60%", load_percent: 60, ..MLEKOPOT },
-    Scenario { name: "mlekopot fail fast", load_percent: 60, trouble: Trouble::FailFast, ..MLEKOPOT },
-    Scenario { name: "mlekopot most fail", load_percent: 40, trouble: Trouble::MostFail, ..MLEKOPOT },
-    Scenario { name: "mlekopot burst", load_percent: 70, trouble: Trouble::Burst, ..MLEKOPOT },
+    Scenario { name: "mlekopot fail fast", load_percent: 60, fault: Fault::FailFast, ..MLEKOPOT },
+    Scenario { name: "mlekopot most fail", load_percent: 40, fault: Fault::MostFail, ..MLEKOPOT },
+    Scenario { name: "mlekopot burst", load_percent: 70, fault: Fault::Burst, ..MLEKOPOT },
 ];
 
-/// How load reaches the entries.
+/// Source of the load reports of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
-    /// Not at all.
+pub enum LoadSource {
+    /// No reports.
     None,
-    /// On every reply, and by probes out of the budget.
-    Riding,
-    /// By polling every server, this often, in microseconds.
+    /// Reports piggybacked on every reply, and probes within the budget.
+    Piggybacked,
+    /// Polls of every server with this period in microseconds.
     Polled(u64),
-    /// Always, at once: the true state.
-    True,
+    /// The true state of every server, without delay.
+    TrueState,
 }
 
-/// One policy with its mechanisms.
+/// A policy with its mechanisms.
 #[derive(Debug, Clone, Copy)]
-pub struct Contender {
+pub struct Candidate {
     /// Name.
     pub name: &'static str,
-    /// How a server is picked.
+    /// Policy that picks a server.
     pub policy: Policy,
-    /// How load is known.
-    pub news: News,
-    /// How calls are placed.
+    /// Source of the load reports.
+    pub load_source: LoadSource,
+    /// Rule for declined attempts, retries and hedges.
     pub rule: CallRule,
-    /// Whether owners give back what waits behind a stall.
+    /// Whether owners decline attempts that wait behind a stall.
     pub rescue: bool,
-    /// Whether owners bound their queues in time.
+    /// Whether owners bound the time that attempts wait in their queues.
     pub bounded: bool,
 }
 
@@ -111,32 +111,32 @@
 const FULL: CallRule =
     CallRule { repeatable: true, bounces: 1, retries: 1, hedge_after_percent: Some(300), demand: None };
 
-const fn baseline(name: &'static str, policy: Policy, news: News) -> Contender {
-    Contender { name, policy, news, rule: PLAIN, rescue: false, bounded: false }
+const fn baseline(name: &'static str, policy: Policy, load_source: LoadSource) -> Candidate {
+    Candidate { name, policy, load_source, rule: PLAIN, rescue: false, bounded: false }
 }
 
-/// Returns the baselines, the bound, and valetrack with its mechanisms one by one.
-pub fn contenders() -> Vec<Contender> {
-    let valetrack = Contender {
+/// Returns the baselines, the bound, and valetrack with its mechanisms added one by one.
+pub fn candidates() -> Vec<Candidate> {
+    let valetrack = Candidate {
         name: "valetrack",
         policy: Policy::Valetrack,
-        news: News::Riding,
+        load_source: LoadSource::Piggybacked,
         rule: FULL,
         rescue: true,
         bounded: true,
     };
     let no_hedge = CallRule { hedge_after_percent: None, ..FULL };
-    let no_bounce = CallRule { bounces: 0, ..no_hedge };
+    let no_decline = CallRule { bounces: 0, ..no_hedge };
     vec![
-        baseline("random", Policy::Random, News::None),
-        baseline("round robin", Policy::RoundRobin, News::None),
-        baseline("least in flight", Policy::LeastInFlight, News::None),
-        baseline("two choices, 50 ms old", Policy::TwoChoices, News::Polled(50_000)),
-        baseline("polled each 10 ms", Policy::Valetrack, News::Polled(10_000)),
-        baseline("bound: true state", Policy::Valetrack, News::True),
-        Contender { name: "valetrack: pick only", rule: no_bounce, rescue: false, bounded: false, ..valetrack },
-        Contender { name: "  and bounces", rule: no_hedge, rescue: false, ..valetrack },
-        Contender { name: "  and rescue from stalls", rule: no_hedge, ..valetrack },
+        baseline("random", Policy::Random, LoadSource::None),
+        baseline("round robin", Policy::RoundRobin, LoadSource::None),
+        baseline("least in flight", Policy::LeastInFlight, LoadSource::None),
+        baseline("two choices, 50 ms old", Policy::TwoChoices, LoadSource::Polled(50_000)),
+        baseline("polled each 10 ms", Policy::Valetrack, LoadSource::Polled(10_000)),
+        baseline("bound: true state", Policy::Valetrack, LoadSource::TrueState),
+        Candidate { name: "valetrack: pick only", rule: no_decline, rescue: false, bounded: false, ..valetrack },
+        Candidate { name: "  and declined attempts", rule: no_hedge, rescue: false, ..valetrack },
+        Candidate { name: "  and rescue from stalls", rule: no_hedge, ..valetrack },
         valetrack,
     ]
 }
--- a/standin/src/bench/tests.rs
+++ b/standin/src/bench/tests.rs
@@ -1,8 +1,8 @@
-//! Bounds on the bench's figures; the seed decides them, so they hold or fail alike on each run.
+//! Bounds on the figures of the benchmark. They are deterministic, so a test passes or fails on every run alike.
 
 use test_case::test_case;
 
-use super::{Contender, Row, SCENARIOS, Scenario, contenders, run_one};
+use super::{Candidate, Row, SCENARIOS, Scenario, candidates, run_one};
 
 const SECONDS: u64 = 6;
 const SEED: u64 = 7;
@@ -11,12 +11,12 @@
     SCENARIOS.iter().find(|scenario| scenario.name == name).expect("a scenario")
 }
 
-fn contender(name: &str) -> Contender {
-    contenders().into_iter().find(|contender| contender.name == name).expect("a contender")
+fn candidate(name: &str) -> Candidate {
+    candidates().into_iter().find(|candidate| candidate.name == name).expect("a candidate")
 }
 
-fn row(scenario_name: &str, contender_name: &str) -> Row {
-    run_one(scenario(scenario_name), &contender(contender_name), SECONDS, SEED)
+fn row(scenario_name: &str, candidate_name: &str) -> Row {
+    run_one(scenario(scenario_name), &candidate(candidate_name), SECONDS, SEED)
 }
 
 fn p99_us(row: &Row) -> f64 {
@@ -26,7 +26,7 @@
 #[test_case("mlekopot 80%")]
 #[test_case("federation 80%")]
 #[test_case("mlekopot 80% writes")]
-fn the_tail_is_near_the_bound_and_far_from_round_robin(name: &str) {
+fn p99_is_near_bound_and_below_round_robin(name: &str) {
     let valetrack = row(name, "valetrack");
     let round_robin = row(name, "round robin");
     let bound = row(name, "bound: true state");
@@ -40,18 +40,18 @@
 
 #[test_case("mlekopot 120%", 48)]
 #[test_case("federation 120%", 24)]
-fn overload_costs_no_goodput_and_is_told_at_once(name: &str, slots: u64) {
+fn overload_keeps_goodput_and_is_refused_at_once(name: &str, slots: u64) {
     let valetrack = row(name, "valetrack");
     let per_slot_per_s = 1e6 / scenario(name).service_us as f64;
     let capacity_per_s = slots as f64 * per_slot_per_s * 0.94;
     assert!(valetrack.goodput_per_s >= 0.95 * capacity_per_s, "{}", valetrack.goodput_per_s);
     assert!(valetrack.shed_us.value_at_quantile(0.99) <= 5_000, "{:?}", valetrack.shed_us);
-    assert!(valetrack.most_running <= u64::from(scenario(name).slots));
+    assert!(valetrack.max_running <= u64::from(scenario(name).slots));
     assert!(valetrack.shed > 0 && valetrack.failed == 0);
 }
 
 #[test]
-fn a_server_that_fails_at_once_costs_hardly_a_call() {
+fn fail_fast_server_fails_at_most_one_percent_of_calls() {
     let valetrack = row("mlekopot fail fast", "valetrack");
     assert!(valetrack.failed_share() <= 0.01, "{}", valetrack.failed_share());
     let round_robin = row("mlekopot fail fast", "round robin");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_slow_server_costs_little_more_than_its_absence() {
+fn slow_server_p99_is_near_that_without_it() {
     let slow = row("mlekopot slow server", "valetrack");
     let three_left = row("mlekopot three left", "valetrack");
     let settled = |row: &Row| row.settled_us.value_at_quantile(0.99) as f64;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_burst_is_over_soon_after_it_ends() {
+fn latency_recovers_within_two_seconds_after_burst() {
     let burst = row("mlekopot burst", "valetrack");
     assert!(burst.recovered_us(200_000) <= 2_000_000, "{}", burst.recovered_us(200_000));
     assert!(burst.runs_per_call() <= 1.1);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_seed_alone_decides() {
+fn run_is_deterministic_per_seed() {
     let once = row("mlekopot 50%", "valetrack");
     let again = row("mlekopot 50%", "valetrack");
     assert_eq!(format!("{once:?}"), format!("{again:?}"));
