--- a/standin/src/crash/fleet.rs
+++ b/standin/src/crash/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: ten upstreams of one service among many nodes, a call that crashes them, and others.
+//! Simulation of a fleet in virtual time: ten upstreams of one service among many nodes, a call that crashes them, and
+//! other calls.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,65 +10,65 @@
 use valetrack::gate::{AttemptId, Patience};
 use valetrack::link::message::CallHead;
 
-use super::way::Way;
+use super::way::SpreadMethod;
 
-/// Upstreams of the service.
+/// Number of upstreams of the service.
 const OWNERS: usize = 10;
-/// Slots of each.
+/// Slots of each upstream.
 const SLOTS: usize = 6;
-/// Time that a run takes, in milliseconds.
+/// Time of a run.
 const RUN_MS: u64 = 60;
-/// Time for which an upstream is away after a crash, in milliseconds.
+/// Time for which an upstream is down after a crash.
 const DOWN_MS: u64 = 3_500;
-/// Pause between two arrivals of the call that crashes upstreams, in milliseconds.
-const POISON_PAUSE_MS: u64 = 50;
-/// Other calls a second.
+/// Period of the call that crashes upstreams.
+const CRASHING_PERIOD_MS: u64 = 50;
+/// Rate of the other calls.
 const CALLS_PER_S: u64 = 300;
-/// Longest time for which answers to crashed calls are held until other owners know, in milliseconds.
+/// Longest time for which the answers to crashed calls are held until the other owners have the report.
 const HOLD_MS: u64 = 30;
-/// Time until such a call is sent again, in milliseconds.
-const BACK_MS: u64 = 2;
-/// Tries of one call, by its entry and its caller together.
-const TRIES_MAX: u32 = 3;
-/// Length of a play, in milliseconds.
-const LENGTH_MS: u64 = 30_000;
-/// Key of the fingerprints; a model keeps no secret.
+/// Delay of the retry of such a call.
+const RETRY_DELAY_MS: u64 = 2;
+/// Retries of one call, by its entry and its caller together.
+const RETRIES_MAX: u32 = 3;
+/// Length of a run of the simulation.
+const DURATION_MS: u64 = 30_000;
+/// Key of the fingerprints, which need not be secret in a simulation.
 const KEY: FingerprintKey = FingerprintKey::of_parts(1, 2);
 /// Path of the call that crashes upstreams.
-const POISON: &str = "/poison";
+const CRASHING_PATH: &str = "/poison";
 /// The service.
 const SERVICE: &str = "intake";
 
-/// One play.
+/// Input of the simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
-    /// Seed of random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Nodes of the fleet.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How news spread.
-    pub way: Way,
+    /// Method that spreads the reports.
+    pub method: SpreadMethod,
 }
 
-/// What came of a play.
+/// Result of the simulation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Upstreams that have crashed.
+    /// Crashes of upstreams.
     pub crashes: u64,
-    /// Time from the third crash until all owners know of three, in milliseconds.
-    pub owners_know_ms: u64,
-    /// The same for all nodes that are told at all.
-    pub all_know_ms: u64,
-    /// Bytes of all news.
+    /// Time from the third crash until all owners have the reports of three.
+    pub owners_informed_ms: u64,
+    /// The same for all nodes that receive reports at all.
+    pub all_informed_ms: u64,
+    /// Bytes of all reports.
     pub bytes: u64,
-    /// Other calls that were refused as if they crashed upstreams.
+    /// Other calls that were refused as suspects.
     pub false_refusals: u64,
 }
 
 struct Run {
     path: String,
     ends_ms: u64,
-    tries: u32,
+    retries: u32,
     suspect: bool,
 }
 
@@ -79,72 +80,72 @@
     answers: RecentAnswers,
 }
 
-struct World {
+struct Simulation {
     scenario: Scenario,
     rng: fastrand::Rng,
     owners: Vec<Owner>,
-    /// News for owners: when, for whom, and what.
-    news: BTreeMap<u64, Vec<(usize, CrashReport)>>,
-    /// Calls to be placed: when, a number, path and tries.
-    coming: BTreeSet<(u64, u64, String, u32)>,
+    /// Reports in flight to owners, by the time of their arrival.
+    reports_in_flight: BTreeMap<u64, Vec<(usize, CrashReport)>>,
+    /// Calls to be placed: time, number, path and retries so far.
+    pending_calls: BTreeSet<(u64, u64, String, u32)>,
     next: u64,
     third_ms: Option<u64>,
-    /// When the last of the news that make three crashes known reaches owners, and anybody.
-    known_ms: (u64, u64),
+    /// Time at which the last owner, and the last node, receives the reports of three crashes.
+    last_received_ms: (u64, u64),
     outcome: Outcome,
 }
 
-/// Plays one scenario.
-pub fn play(scenario: Scenario) -> Outcome {
-    let mut world = World {
+/// Runs one scenario.
+pub fn simulate(scenario: Scenario) -> Outcome {
+    let mut simulation = Simulation {
         rng: fastrand::Rng::with_seed(scenario.seed),
         owners: (0..OWNERS).map(|_| Owner::default()).collect(),
-        news: BTreeMap::new(),
-        coming: BTreeSet::new(),
+        reports_in_flight: BTreeMap::new(),
+        pending_calls: BTreeSet::new(),
         next: 0,
         third_ms: None,
-        known_ms: (0, 0),
+        last_received_ms: (0, 0),
         outcome: Outcome::default(),
         scenario,
     };
-    for now_ms in 0..LENGTH_MS {
-        world.step(now_ms);
+    for now_ms in 0..DURATION_MS {
+        simulation.step(now_ms);
     }
-    let third_ms = world.third_ms.unwrap_or(LENGTH_MS);
-    world.outcome.owners_know_ms = world.known_ms.0.saturating_sub(third_ms);
-    world.outcome.all_know_ms = world.known_ms.1.saturating_sub(third_ms);
-    world.outcome
+    let third_ms = simulation.third_ms.unwrap_or(DURATION_MS);
+    simulation.outcome.owners_informed_ms = simulation.last_received_ms.0.saturating_sub(third_ms);
+    simulation.outcome.all_informed_ms = simulation.last_received_ms.1.saturating_sub(third_ms);
+    simulation.outcome
 }
 
-impl World {
+impl Simulation {
     fn step(&mut self, now_ms: u64) {
-        if now_ms.is_multiple_of(POISON_PAUSE_MS) {
-            self.come(now_ms, POISON.to_owned(), 0);
+        if now_ms.is_multiple_of(CRASHING_PERIOD_MS) {
+            self.schedule_call(now_ms, CRASHING_PATH.to_owned(), 0);
         }
         if self.rng.u64(..1_000) < CALLS_PER_S {
             let path = format!("/usual/{now_ms}");
-            self.come(now_ms, path, 0);
+            self.schedule_call(now_ms, path, 0);
         }
-        for (owner, report) in self.news.remove(&now_ms).unwrap_or_default() {
+        for (owner, report) in self.reports_in_flight.remove(&now_ms).unwrap_or_default() {
             self.owners[owner].history.join(&[report], &Arc::from("peer"), now_ms * 1000);
         }
         for at in 0..OWNERS {
             self.end_runs(at, now_ms);
         }
-        while let Some((at_ms, ..)) = self.coming.first()
+        while let Some((at_ms, ..)) = self.pending_calls.first()
             && *at_ms <= now_ms
-            && let Some((_, _, path, tries)) = self.coming.pop_first()
+            && let Some((_, _, path, retries)) = self.pending_calls.pop_first()
         {
-            self.place(path, tries, now_ms);
+            self.place(path, retries, now_ms);
         }
     }
 
-    fn come(&mut self, at_ms: u64, path: String, tries: u32) {
+    fn schedule_call(&mut self, at_ms: u64, path: String, retries: u32) {
         self.next += 1;
-        self.coming.insert((at_ms, self.next, path, tries));
+        self.pending_calls.insert((at_ms, self.next, path, retries));
     }
 
-    fn place(&mut self, path: String, tries: u32, now_ms: u64) {
+    fn place(&mut self, path: String, retries: u32, now_ms: u64) {
         let up: Vec<usize> = (0..OWNERS).filter(|at| self.owners[*at].up_at_ms <= now_ms).collect();
         let Some(at) = self.rng.choice(&up).copied() else {
             return;
@@ -152,22 +153,22 @@
         let owner = &mut self.owners[at];
         let standing = owner.history.standing(&head(&path), b"");
         if standing.is_refused() {
-            self.outcome.false_refusals += u64::from(path != POISON);
+            self.outcome.false_refusals += u64::from(path != CRASHING_PATH);
             return;
         }
         let suspect = standing.crashes() > 0;
         if owner.runs.len() >= SLOTS || (suspect && owner.runs.iter().any(|run| run.suspect)) {
-            if tries < TRIES_MAX {
-                self.come(now_ms + RUN_MS / 2, path, tries + 1);
+            if retries < RETRIES_MAX {
+                self.schedule_call(now_ms + RUN_MS / 2, path, retries + 1);
             }
             return;
         }
-        owner.runs.push(Run { path, ends_ms: now_ms + RUN_MS, tries, suspect });
+        owner.runs.push(Run { path, ends_ms: now_ms + RUN_MS, retries, suspect });
     }
 
     fn end_runs(&mut self, at: usize, now_ms: u64) {
         let owner = &mut self.owners[at];
-        let crashes = owner.runs.iter().any(|run| run.ends_ms <= now_ms && run.path == POISON);
+        let crashes = owner.runs.iter().any(|run| run.ends_ms <= now_ms && run.path == CRASHING_PATH);
         if crashes {
             self.crash(at, now_ms);
             return;
@@ -179,10 +180,10 @@
             self.owners[at].answers.answered(KEY, &head, b"", now_ms * 1000 + 1);
             let refs = self.owners[at].history.standing(&head, b"").refs;
             let cleared = self.owners[at].history.clear(&refs);
-            // Such news are gathered and go by the store, whose next value is counted with the next crash.
+            // Cleared suspects are batched and sent through the store; their bytes count with the next crash.
             for report in cleared {
                 let later = (0..OWNERS).map(|owner| (owner, report.clone()));
-                self.news.entry(now_ms + 1_500).or_default().extend(later);
+                self.reports_in_flight.entry(now_ms + 1_500).or_default().extend(later);
             }
         }
     }
@@ -197,8 +198,8 @@
         for run in &runs {
             let head = head(&run.path);
             let fingerprint = KEY.fingerprint(&head, b"");
-            let known = calls.iter().any(|call| call.fingerprint == fingerprint);
-            if !known && !owner.answers.holds(KEY, &head, b"", now_ms * 1000) {
+            let is_listed = calls.iter().any(|call| call.fingerprint == fingerprint);
+            if !is_listed && !owner.answers.holds(KEY, &head, b"", now_ms * 1000) {
                 let refs = owner.history.standing(&head, b"").refs;
                 calls.push(CrashedCall { fingerprint, refs, route: Arc::from("") });
             }
@@ -213,18 +214,18 @@
             changed.push(report);
         }
         let stored_bytes = archive::pack(&owner.history.archive(SERVICE)).map_or(0, |value| value.len() as u64);
-        let told_ms = self.tell(&changed, stored_bytes, now_ms);
-        for run in runs.into_iter().filter(|run| run.tries < TRIES_MAX) {
-            self.come(told_ms + BACK_MS, run.path, run.tries + 1);
+        let held_until_ms = self.send_reports(&changed, stored_bytes, now_ms);
+        for run in runs.into_iter().filter(|run| run.retries < RETRIES_MAX) {
+            self.schedule_call(held_until_ms + RETRY_DELAY_MS, run.path, run.retries + 1);
         }
     }
 
-    /// Sends reports on their way; returns until when the answers to crashed calls are held for it.
-    fn tell(&mut self, reports: &[CrashReport], stored_bytes: u64, now_ms: u64) -> u64 {
-        let Scenario { nodes, way, .. } = self.scenario;
+    /// Sends reports; returns the time until which the answers to crashed calls are held for them.
+    fn send_reports(&mut self, reports: &[CrashReport], stored_bytes: u64, now_ms: u64) -> u64 {
+        let Scenario { nodes, method, .. } = self.scenario;
         let report_bytes = reports.iter().filter_map(|report| serde_json::to_vec(report).ok());
         let report_bytes = report_bytes.map(|bytes| bytes.len() as u64 / 2).sum();
-        let (deliveries, bytes) = way.spread((nodes, OWNERS), (report_bytes, stored_bytes), &mut self.rng);
+        let (deliveries, bytes) = method.spread((nodes, OWNERS), (report_bytes, stored_bytes), &mut self.rng);
         self.outcome.bytes += bytes;
         let is_third = self.outcome.crashes == 3;
         if is_third {
@@ -233,21 +234,22 @@
         let mut first: BTreeMap<usize, u64> = BTreeMap::new();
         for delivery in deliveries {
             let at_ms = now_ms + delivery.after_ms;
-            let known = first.entry(delivery.node).or_insert(at_ms);
-            *known = (*known).min(at_ms);
+            let earliest_ms = first.entry(delivery.node).or_insert(at_ms);
+            *earliest_ms = (*earliest_ms).min(at_ms);
         }
-        let told = first.iter().filter(|(node, _)| **node < OWNERS).map(|(_, at_ms)| *at_ms).max();
+        let last_owner_ms = first.iter().filter(|(node, _)| **node < OWNERS).map(|(_, at_ms)| *at_ms).max();
         for (node, at_ms) in first {
             if is_third {
-                self.known_ms.1 = self.known_ms.1.max(at_ms);
+                self.last_received_ms.1 = self.last_received_ms.1.max(at_ms);
             }
             if node < OWNERS {
-                let news = reports.iter().map(|report| (node, report.clone()));
-                self.news.entry(at_ms.max(now_ms + 1)).or_default().extend(news);
-                self.known_ms.0 = if is_third { self.known_ms.0.max(at_ms) } else { self.known_ms.0 };
+                let arrivals = reports.iter().map(|report| (node, report.clone()));
+                self.reports_in_flight.entry(at_ms.max(now_ms + 1)).or_default().extend(arrivals);
+                self.last_received_ms.0 =
+                    if is_third { self.last_received_ms.0.max(at_ms) } else { self.last_received_ms.0 };
             }
         }
-        told.unwrap_or(now_ms).min(now_ms + HOLD_MS)
+        last_owner_ms.unwrap_or(now_ms).min(now_ms + HOLD_MS)
     }
 }
 
--- a/standin/src/rollback/mod.rs
+++ b/standin/src/rollback/mod.rs
@@ -1,45 +1,45 @@
-//! Ways in which a fleet gets whole again after its store has come back older, compared in virtual time on the product's
-//! own decisions: when all entries are back and all nodes have read them, what it costs the store, and which nodes
-//! that live are taken for gone meanwhile.
+//! Comparison of methods by which a fleet recovers from a store rollback, in virtual time and with the product's own
+//! decisions: the time until all entries are restored and all nodes have read them, the load on the store, and the live
+//! nodes that are considered dead meanwhile.
 
 mod fleet;
 mod store;
 #[cfg(test)]
 mod tests;
 
-pub use fleet::{Outcome, Scenario, Way, play};
+pub use fleet::{Outcome, RecoveryMethod, Scenario, simulate};
 pub use store::{Lost, Rates};
 
-/// Sizes of fleets that are compared, in nodes, with what their store takes.
+/// Compared sizes of fleets, in nodes, with the rate limits of their store.
 const SIZES: [(usize, Rates); 3] = [
     (30, Rates { writes_per_s: 400, reads_per_s: 2_000 }),
     (195, Rates { writes_per_s: 3_200, reads_per_s: 16_000 }),
     (1_000, Rates { writes_per_s: 3_200, reads_per_s: 16_000 }),
 ];
-/// Seeds of each.
+/// Number of seeds per size, method and copy.
 const SEEDS: u64 = 20;
 
-/// Prints a row for each way, size and copy.
+/// Prints a row for each method, size and copy.
 pub fn compare() {
-    println!("way lost nodes back_ms agree_ms writes reads cheap refused gone");
+    println!("method lost nodes restored_ms all_read_ms writes reads reduced_cost refused declared_dead");
     for lost in Lost::ALL {
         for (nodes, rates) in SIZES {
-            for way in Way::ALL {
-                let plays: Vec<Outcome> =
-                    (0..SEEDS).map(|seed| play(Scenario { seed, nodes, rates, lost, way })).collect();
-                let most = |of: &dyn Fn(&Outcome) -> u64| plays.iter().map(of).max().unwrap_or(0);
-                let mean = |of: &dyn Fn(&Outcome) -> u64| plays.iter().map(of).sum::<u64>() / SEEDS;
+            for method in RecoveryMethod::ALL {
+                let outcomes: Vec<Outcome> =
+                    (0..SEEDS).map(|seed| simulate(Scenario { seed, nodes, rates, lost, method })).collect();
+                let most = |of: &dyn Fn(&Outcome) -> u64| outcomes.iter().map(of).max().unwrap_or(0);
+                let mean = |of: &dyn Fn(&Outcome) -> u64| outcomes.iter().map(of).sum::<u64>() / SEEDS;
                 println!(
                     "{} {} {nodes} {} {} {} {} {} {} {}",
-                    way.as_str(),
+                    method.as_str(),
                     lost.as_str(),
-                    most(&|play| play.back_ms),
-                    most(&|play| play.agree_ms),
-                    mean(&|play| play.writes),
-                    mean(&|play| play.reads),
-                    mean(&|play| play.cheap),
-                    mean(&|play| play.refused),
-                    most(&|play| play.gone)
+                    most(&|outcome| outcome.restored_ms),
+                    most(&|outcome| outcome.all_read_ms),
+                    mean(&|outcome| outcome.writes),
+                    mean(&|outcome| outcome.reads),
+                    mean(&|outcome| outcome.reduced_cost),
+                    mean(&|outcome| outcome.refused),
+                    most(&|outcome| outcome.declared_dead)
                 );
             }
         }
--- a/standin/src/rollback/store.rs
+++ b/standin/src/rollback/store.rs
@@ -1,22 +1,22 @@
-//! A store in virtual time that has come back from a copy.
+//! Model of a store in virtual time that has been restored from an older copy.
 
 use std::collections::BTreeMap;
 
 use valetrack::member::SeenEntry;
 use valetrack::store::{Era, Lease, Position};
 
-/// The era that the store is in now.
+/// Era of the restored store.
 pub const ERA: Era = Era::new(2);
-/// The era before it.
+/// Era before the rollback.
 pub const ERA_BEFORE: Era = Era::new(1);
-/// How long a lease holds, in milliseconds.
+/// Lifetime of a lease.
 pub const LEASE_MS: u64 = 8_000;
-/// Window over which calls are counted, in milliseconds.
+/// Window of the rate limits.
 const WINDOW_MS: u64 = 1_000;
 /// One entry of this many was written or leased after the copy was taken.
 const LATE_SHARE: usize = 10;
 
-/// What the copy lacks of the nodes' entries.
+/// Entries and leases that the copy lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lost {
     /// The entries of the last seconds, with their leases.
@@ -26,10 +26,10 @@
 }
 
 impl Lost {
-    /// All of them.
+    /// All variants.
     pub const ALL: [Self; 2] = [Self::Latest, Self::Leases];
 
-    /// Returns its name in tables.
+    /// Returns the name in tables.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Latest => "latest",
@@ -38,29 +38,29 @@
     }
 }
 
-/// Calls that the store takes from all nodes together.
+/// Rate limits of the store for all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rates {
-    /// Calls a second that write.
+    /// Writes a second.
     pub writes_per_s: u64,
-    /// Calls a second that read.
+    /// Reads a second.
     pub reads_per_s: u64,
 }
 
-/// Calls by what they cost.
+/// Cost of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Price {
-    /// It counts among those that write.
+pub enum Cost {
+    /// A write, counted against the limit of writes.
     Write,
-    /// It counts among those that read.
+    /// A read, counted against the limit of reads.
     Read,
-    /// A renewal: it counts among those that read, at a tenth of the price.
+    /// A lease renewal, counted against the limit of reads, at a tenth of the cost.
     Renewal,
-    /// A read of an earlier state: a tenth of the price, and not counted.
+    /// A read of an earlier state, not limited, at a tenth of the cost.
     Earlier,
 }
 
-/// The store.
+/// Model of the store.
 pub struct Store {
     rates: Rates,
     window: u64,
@@ -68,15 +68,15 @@
     revision: u64,
     next_lease: u64,
     entries: BTreeMap<usize, SeenEntry>,
-    /// Calls that were answered, by price: writes, reads, cheap ones.
+    /// Answered calls: writes, reads, and those at a tenth of the cost.
     pub calls: (u64, u64, u64),
-    /// Calls that were turned away.
+    /// Refused calls.
     pub refused: u64,
 }
 
 impl Store {
-    /// Makes a store that has come back without what is lost of the entries of `nodes` nodes, each of which was written
-    /// at the revision of its number and two more, under a lease of that id.
+    /// Creates a store that was restored without the `lost` entries of `nodes` nodes. The entry of node `at` was written
+    /// at revision `at + 2`, under a lease with that id.
     pub fn new(rates: Rates, lost: Lost, nodes: usize) -> Self {
         let kept = |at: &usize| lost == Lost::Latest && !at.is_multiple_of(LATE_SHARE);
         let entry = |at: usize| {
@@ -95,16 +95,16 @@
         }
     }
 
-    /// Counts a call at `now_ms`; returns whether it is answered.
-    pub fn admit(&mut self, price: Price, now_ms: u64) -> bool {
+    /// Counts a call at `now_ms`; returns whether it is within the limits.
+    pub fn admit(&mut self, cost: Cost, now_ms: u64) -> bool {
         if now_ms / WINDOW_MS != self.window {
             self.window = now_ms / WINDOW_MS;
             self.in_window = (0, 0);
         }
-        let (counted, rate) = match price {
-            Price::Write => (&mut self.in_window.0, self.rates.writes_per_s),
-            Price::Read | Price::Renewal => (&mut self.in_window.1, self.rates.reads_per_s),
-            Price::Earlier => {
+        let (counted, rate) = match cost {
+            Cost::Write => (&mut self.in_window.0, self.rates.writes_per_s),
+            Cost::Read | Cost::Renewal => (&mut self.in_window.1, self.rates.reads_per_s),
+            Cost::Earlier => {
                 self.calls.2 += 1;
                 return true;
             }
@@ -114,21 +114,21 @@
             self.refused += 1;
             return false;
         }
-        match price {
-            Price::Write => self.calls.0 += 1,
-            Price::Read => self.calls.1 += 1,
-            Price::Renewal | Price::Earlier => self.calls.2 += 1,
+        match cost {
+            Cost::Write => self.calls.0 += 1,
+            Cost::Read => self.calls.1 += 1,
+            Cost::Renewal | Cost::Earlier => self.calls.2 += 1,
         }
         true
     }
 
-    /// Grants a lease.
+    /// Grants a new lease.
     pub fn grant(&mut self) -> Lease {
         self.next_lease += 1;
         Lease { id: self.next_lease, ttl_ms: LEASE_MS, era: ERA }
     }
 
-    /// Writes the entry of a node where it stands at `expected`; returns its position, or where it stands instead.
+    /// Writes the entry of a node if its position is `expected`; returns the new position, or the one found as an error.
     pub fn write(&mut self, at: usize, expected: Option<Position>, lease: u64) -> Result<Position, Option<Position>> {
         let found = self.entries.get(&at).map(|entry| entry.position);
         if found != expected {
@@ -145,7 +145,7 @@
         self.entries.get(&at).copied()
     }
 
-    /// Returns how many entries stand there.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
