--- a/standin/src/slope.rs
+++ b/standin/src/slope.rs
@@ -1,4 +1,4 @@
-//! Slopes that the page of capacity is worked out from: bytes, time and memory by size.
+//! Measurements behind the capacity page: bytes, time and memory of the main structures by size.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::Arc;
@@ -15,18 +15,18 @@
     Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Policy, RepeatBudget, ServerSet, ServiceView,
 };
 
-/// An allocator that counts, so that memory and allocations can be told exactly.
+/// The system's allocator with counters of the allocated bytes and of the allocations.
 pub struct Counting;
 
 static BYTES: AtomicU64 = AtomicU64::new(0);
 static COUNT: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: every call is passed on to the system's allocator as it came.
+// SAFETY: every call is passed unchanged to the system's allocator.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         BYTES.fetch_add(layout.size() as u64, Ordering::Relaxed);
         COUNT.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller's promises about the layout are passed on.
+        // SAFETY: the caller guarantees a valid layout, which is passed on unchanged.
         unsafe { System.alloc(layout) }
     }
 
@@ -37,19 +37,19 @@
     }
 }
 
-/// Returns the allocations made so far.
+/// Returns the number of allocations made so far.
 pub fn allocations() -> u64 {
     COUNT.load(Ordering::Relaxed)
 }
 
-/// What one piece of work took.
+/// Mean cost of one execution of a measured function.
 struct Cost {
     micros: f64,
     kept_bytes: u64,
     allocations: f64,
 }
 
-/// Does a piece of work `times` times and keeps the last result to weigh it.
+/// Measures `times` executions of `work`; the size of the first result is counted when it is dropped.
 fn cost<T>(times: u32, mut work: impl FnMut() -> T) -> Cost {
     let kept = work();
     let (bytes, count, began) = (BYTES.load(Ordering::Relaxed), allocations(), Instant::now());
@@ -93,14 +93,14 @@
     (0..services).map(one).collect()
 }
 
-fn row(what: &str, size: usize, wire_bytes: usize, cost: &Cost) {
+fn row(name: &str, size: usize, wire_bytes: usize, cost: &Cost) {
     println!(
-        "{what:<38} {size:>7} {wire_bytes:>10} {:>12.3} {:>12} {:>9.2}",
+        "{name:<38} {size:>7} {wire_bytes:>10} {:>12.3} {:>12} {:>9.2}",
         cost.micros, cost.kept_bytes, cost.allocations
     );
 }
 
-/// Measures all slopes and prints them.
+/// Measures all costs and prints a table.
 pub fn run() {
     println!(
         "{:<38} {:>7} {:>10} {:>12} {:>12} {:>9}",
@@ -119,8 +119,8 @@
     }
     for size in [12, 200, 1_200, 12_000] {
         row("view of VMs, members", size, 0, &cost(20, || members(size)));
-        let known = members(size);
-        row("copy of the view, members", size, 0, &cost(20, || known.clone()));
+        let view = members(size);
+        row("copy of the view, members", size, 0, &cost(20, || view.clone()));
         let rows: Vec<ListedVm> = (0..size).map(listed).collect();
         let text = serde_json::to_string(&rows).unwrap_or_default();
         let read = || serde_json::from_str::<Vec<ListedVm>>(&text);
@@ -135,7 +135,7 @@
         let bytes = postcard::to_allocvec(&page).map_or(0, |bytes| bytes.len());
         row("page of claims, keys", size, bytes, &cost(20, || postcard::to_allocvec(&page)));
     }
-    riding();
+    piggybacked_report();
     decisions();
 }
 
@@ -154,11 +154,11 @@
     Page { home: None, term: 3, held: false, blind_until_s: 0, entries: (0..keys).map(entry).collect() }
 }
 
-fn riding() {
+fn piggybacked_report() {
     let load = LoadReport { limit: 12, in_flight: 9, queued: 3, service_us: 4_000, ..LoadReport::default() };
     let reply = ReplyHead { reply: Reply::Load, riding: Riding { load, bundle: 21_000, hlc: 1 << 56 } };
     let bytes = pack(&reply).map_or(0, |frame| frame.len());
-    row("what rides on a reply", 1, bytes, &cost(2_000, || pack(&reply)));
+    row("report piggybacked on a reply", 1, bytes, &cost(2_000, || pack(&reply)));
 }
 
 fn decisions() {
@@ -217,7 +217,7 @@
         gate.handle(GateEvent::Done { attempt, healthy: true }, now_us + 2_000, &mut actions);
         actions.clear();
     };
-    // What the gate remembers has to reach its full size first.
+    // The gate's history has to reach its full size first.
     (0..10_000).for_each(|_| one());
     cost(100_000, one)
 }
