--- a/valetrack/src/link/codec.rs
+++ b/valetrack/src/link/codec.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies on a stream: pure packing and unpacking with caps.
+//! Encodes and decodes frames (a head and a body on one stream) within size limits; does no I/O.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::Serialize;
@@ -9,34 +9,34 @@
 use crate::code::Code;
 use crate::member::StoreNews;
 
-/// Bytes of the length before a head.
+/// Size of the length prefix in front of a head.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Why a frame could not be read.
+/// Error of encoding or decoding a frame.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum FrameError {
-    /// The head is over its cap.
-    #[snafu(display("head of {bytes} bytes is over {HEAD_MAX_BYTES}"))]
+    /// The head exceeds [`HEAD_MAX_BYTES`].
+    #[snafu(display("head of {bytes} bytes exceeds the limit of {HEAD_MAX_BYTES}"))]
     HeadTooLarge {
-        /// Its length, in bytes.
+        /// Length of the head.
         bytes: usize,
     },
-    /// The body is over its cap.
-    #[snafu(display("body of {bytes} bytes is over {BODY_MAX_BYTES}"))]
+    /// The body exceeds [`BODY_MAX_BYTES`].
+    #[snafu(display("body of {bytes} bytes exceeds the limit of {BODY_MAX_BYTES}"))]
     BodyTooLarge {
-        /// Its length, in bytes.
+        /// Length of the body.
         bytes: usize,
     },
-    /// The stream ended before the frame did, or went on after it.
-    #[snafu(display("frame of {got} bytes where {wanted} were announced"))]
+    /// The stream is shorter or longer than the lengths in the frame say.
+    #[snafu(display("frame has {got} bytes, expected {wanted}"))]
     WrongLength {
-        /// Bytes that came.
+        /// Bytes received.
         got: usize,
-        /// Bytes that were announced.
+        /// Bytes expected from the length prefix or the head.
         wanted: usize,
     },
-    /// The head does not decode.
-    #[snafu(display("head does not decode"))]
+    /// The head or the body cannot be encoded or decoded.
+    #[snafu(display("frame cannot be decoded"))]
     Undecodable,
 }
 
@@ -50,10 +50,10 @@
     }
 }
 
-/// A head that knows how long its body is.
+/// Head of a frame, which states the length of the body.
 pub trait Head: Serialize + DeserializeOwned {
-    /// Returns the announced length of the body, in bytes; none where any length up to the cap
-    /// is right.
+    /// Returns the length of the body, or `None` if the head doesn't state one and every length within the limit
+    /// is accepted.
     fn body_bytes(&self) -> Option<usize>;
 }
 
@@ -79,7 +79,7 @@
         match &self.reply {
             Reply::Answer(answer) => Some(answer.body_bytes as usize),
             Reply::News { body_bytes, .. } => Some(*body_bytes as usize),
-            // The text is checked against its version, which is its hash.
+            // The receiver verifies the text against the version, which is the hash of the text.
             Reply::Bundle { .. } => None,
             Reply::Bounce { .. }
             | Reply::Moved { .. }
@@ -97,24 +97,24 @@
     }
 }
 
-/// Packs news of the store into a body: with a bundle among them, they may be larger than a head. Entries of nodes are
-/// much alike, so that the body is compressed: to many followers it is most of what a relay sends.
+/// Encodes a store update as a body. An update that includes a bundle may exceed the limit of a head. The body is
+/// compressed because entries of nodes are very similar and updates are most of the bytes that a relay sends to its
+/// followers.
 ///
 /// # Errors
 ///
-/// Returns [`FrameError::Undecodable`] when the news cannot be written, which is a fault of their
-/// type.
+/// Returns [`FrameError::Undecodable`] if the update cannot be serialized, which is a bug in its type.
 pub fn pack_news(news: &StoreNews) -> Result<Bytes, FrameError> {
     let packed = postcard::to_allocvec(news).map_err(|_| FrameError::Undecodable)?;
     Ok(Bytes::from(lz4_flex::compress_prepend_size(&packed)))
 }
 
-/// Reads what [`pack_news`] has packed.
+/// Decodes a store update that [`pack_news`] encoded.
 ///
 /// # Errors
 ///
-/// Returns [`FrameError::BodyTooLarge`] when the news say to be over [`BODY_MAX_BYTES`], and
-/// [`FrameError::Undecodable`] when the body holds no news.
+/// Returns [`FrameError::BodyTooLarge`] if the size prefix exceeds [`BODY_MAX_BYTES`], and
+/// [`FrameError::Undecodable`] if the body is not a valid store update.
 pub fn unpack_news(body: &Bytes) -> Result<StoreNews, FrameError> {
     let size: [u8; LENGTH_BYTES] =
         body.get(..LENGTH_BYTES).and_then(|size| size.try_into().ok()).ok_or(FrameError::Undecodable)?;
@@ -126,11 +126,11 @@
     postcard::from_bytes(&packed).map_err(|_| FrameError::Undecodable)
 }
 
-/// Packs the length and the head; the body is sent behind it as it is.
+/// Encodes the length prefix and the head; the caller sends the body after them unchanged.
 ///
 /// # Errors
 ///
-/// Returns [`FrameError::HeadTooLarge`] when the head is over [`HEAD_MAX_BYTES`].
+/// Returns [`FrameError::HeadTooLarge`] if the head exceeds [`HEAD_MAX_BYTES`].
 pub fn pack(head: &impl Head) -> Result<Bytes, FrameError> {
     let mut frame = BytesMut::with_capacity(256);
     frame.put_u32(0);
@@ -144,11 +144,11 @@
     Ok(frame.freeze())
 }
 
-/// Unpacks a whole stream into its head and its body.
+/// Splits the contents of a stream into the decoded head and the body.
 ///
 /// # Errors
 ///
-/// Returns a [`FrameError`] for anything that is cut short, too long, over a cap or undecodable.
+/// Returns a [`FrameError`] if the frame is truncated, has trailing bytes, exceeds a limit or cannot be decoded.
 pub fn unpack<H: Head>(mut frame: Bytes) -> Result<(H, Bytes), FrameError> {
     let length: [u8; LENGTH_BYTES] = frame
         .get(..LENGTH_BYTES)
--- a/valetrack/src/link/message.rs
+++ b/valetrack/src/link/message.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes.
 //!
-//! A stream carries one question and one reply: four bytes of length (big endian), a head in
-//! postcard, then a body up to the end of the stream, whose length stands in the head.
+//! A stream carries one request and one reply. Each is a frame: the length of the head in four bytes (big endian), the
+//! head in postcard encoding, and the body up to the end of the stream. The head states the length of the body.
 
 use std::sync::Arc;
 
@@ -16,257 +16,256 @@
 use crate::rollout::RouteRuns;
 use crate::store::Position;
 
-/// Version of the messages; nodes of other versions are refused in the TLS handshake.
+/// Version of the messages. The TLS handshake fails between nodes of different versions.
 pub const ALPN: &[u8] = b"valetrack/9";
-/// Largest head, in bytes.
+/// Largest head.
 pub const HEAD_MAX_BYTES: usize = 64 * 1024;
-/// Largest body, in bytes; routes have caps below it.
+/// Largest body; the limits of routes are lower.
 pub const BODY_MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// A call on its way to an owner or to the home of its key.
+/// Head of a call that is sent to an owner or to the home of its key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallHead {
-    /// The attempt.
+    /// ID of the attempt.
     pub attempt: AttemptId,
-    /// Name of the call through all its attempts and nested calls.
+    /// ID of the call, shared by all its attempts and nested calls.
     pub call_id: Arc<str>,
-    /// The service.
+    /// Service that is called.
     pub service: Arc<str>,
-    /// Service of the VM at which the call began.
+    /// Service of the VM on which the call originated.
     pub origin: Arc<str>,
-    /// Client account that sent it; none where it needs no key.
+    /// Client account of the caller; `None` if the call needs no API key.
     pub account: Option<Arc<str>>,
-    /// Name of its route; empty where routes have none.
+    /// Name of the route; empty if routes have no names.
     pub route: Arc<str>,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Headers that travel from end to end.
+    /// End-to-end headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Length of the body, in bytes.
+    /// Length of the body.
     pub body_bytes: u32,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline.
     pub deadline_ms: u32,
-    /// Time left within which an answer is worth the most, in milliseconds; zero for none.
+    /// Time left until the objective, within which an answer has its full utility; zero if there is no objective.
     pub objective_ms: u32,
-    /// Time that the run is expected to take on a usual server, in microseconds; zero when unknown.
+    /// Expected run time on a typical server; zero if unknown.
     pub work_us: u32,
-    /// What the call is worth at the best other server that the entry may ask, in thousandths of
-    /// an answer in time; zero where there is none.
+    /// Expected utility of the call at the best other server available to the entry, in thousandths of the utility of
+    /// an answer within its objective; zero if there is no other server.
     pub elsewhere_permille: u16,
-    /// Rank under overload; zero goes first.
+    /// Priority under overload; zero is the highest.
     pub priority: u8,
     /// Whether the work may run more than once.
     pub repeatable: bool,
-    /// How deep the call is nested.
+    /// Nesting depth of the call.
     pub depth: u8,
-    /// Whether a run made it, as far as the entry knows.
+    /// Whether the entry has determined that a run of another call made this call.
     pub made_by_run: bool,
-    /// Chance that its run is a repeat, in thousandths: a second attempt, or made by a repeated run.
+    /// Probability that the run is a repeat, in thousandths: a second attempt, or a call made by a repeated run.
     pub repeat_permille: u16,
-    /// How long the owner may let it wait.
+    /// Queue timeout at the owner.
     pub patience: Patience,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller.
     pub key: Option<Arc<str>>,
-    /// Hybrid clock of the sender.
+    /// Timestamp of the sender's hybrid clock.
     pub hlc: u64,
 }
 
-/// An answer on its way back.
+/// Head of an answer that is sent back to the entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerHead {
-    /// The attempt that it answers.
+    /// ID of the answered attempt.
     pub attempt: AttemptId,
     /// Whether the work ran.
     pub outcome: Outcome,
-    /// Number of the result code, or zero for an answer of the server's own.
+    /// Number of the result code; zero if the server produced the answer.
     pub code: u16,
     /// HTTP status.
     pub status: u16,
-    /// When to come back, in milliseconds, or zero.
+    /// Delay before a retry, or zero.
     pub retry_after_ms: u32,
-    /// Headers that travel from end to end.
+    /// End-to-end headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Length of the body, in bytes.
+    /// Length of the body.
     pub body_bytes: u32,
-    /// Whether the owner takes the route for one that upstreams call on their own; none while it has seen
-    /// too little of it.
+    /// Whether the owner classifies the route as one that upstreams call themselves; `None` while it has too few
+    /// observations.
     pub nested: Option<bool>,
-    /// Time that the run would have taken on a machine that is not slowed, in microseconds; zero
-    /// where the server was not asked.
+    /// Time that the run would have taken on a machine that is not slowed; zero if the call was not sent to the server.
     pub work_us: u32,
 }
 
-/// What rides on every reply: the owner's load and versions, at no message of its own.
+/// State that the sender attaches to every reply, which saves separate messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Riding {
-    /// Load of the owner's server.
+    /// Load of the sender's server.
     pub load: LoadReport,
     /// Number of the bundle in force at the sender.
     pub bundle: u64,
-    /// Hybrid clock of the sender.
+    /// Timestamp of the sender's hybrid clock.
     pub hlc: u64,
 }
 
-/// A question on a stream of its own.
+/// Head of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ask {
-    /// Run a call on the owner's server; the body follows.
+    /// Runs a call on the owner's server; the body of the call follows.
     Run(CallHead),
-    /// Run a call under its key at the key's home; the body follows.
+    /// Runs a keyed call at the home of the key; the body of the call follows.
     RunKeyed(CallHead),
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     Cancel(AttemptId),
-    /// Say what the load is.
+    /// Requests the load of the server.
     Probe,
-    /// Exchange what is known of VMs and evacuations, and the number of the bundle in force.
+    /// Exchanges membership, evacuations, claim pages and the number of the bundle in force.
     Gossip {
-        /// VMs that the sender knows.
+        /// VMs recorded at the sender.
         members: Vec<Member>,
-        /// Failure domains that are evacuated as far as the sender knows.
+        /// Evacuated failure domains recorded at the sender.
         evacuation: Evacuation,
         /// Number of the bundle in force at the sender.
         bundle: u64,
-        /// What the sender says of its pages of claims.
+        /// State of the sender's claim pages.
         claims: ClaimNews,
     },
-    /// Send the bundle in force.
+    /// Requests the bundle in force.
     Bundle,
-    /// Tell which failure domains are evacuated.
+    /// Requests the evacuated failure domains.
     Evacuation,
-    /// Tell what has changed in the store, as soon as something has.
+    /// Requests changes of the store; the reply is sent as soon as there is a change.
     Follow {
         /// Position up to which the sender has read the store.
         after: Position,
-        /// Longest time to wait for a change, in milliseconds.
+        /// Longest time to wait for a change.
         wait_ms: u32,
-        /// The sender itself, whose entry in the store is to be kept.
+        /// Member record of the sender, whose entry in the store the receiver keeps alive.
         me: Member,
     },
-    /// Tell how runs of the upstream's present start ended.
+    /// Requests the outcomes of runs since the last start of the upstream.
     Runs,
-    /// Grant credits for calls of a limited client account.
+    /// Requests credits for calls of a limited client account.
     Quota {
         /// The account.
         account: Arc<str>,
-        /// Calls that the sender would admit.
+        /// Number of calls that the sender wants to admit.
         calls: u32,
-        /// VM of the account's home where it did not answer the sender.
+        /// VM of the account's home, if that VM did not answer the sender.
         instead_of: Option<Arc<str>>,
     },
-    /// Take what the sender knows of crashes; nothing but what rides along comes back.
+    /// Reports crashes; the reply is [`Reply::Load`].
     Crashes {
         /// VM of the sender.
         from: Arc<str>,
-        /// The crashes.
+        /// Reported crashes.
         reports: Vec<CrashReport>,
     },
 }
 
-/// A reply on the stream of its question.
+/// Reply to a request, on the same stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// An answer; its body follows.
+    /// Answer to a call; the body of the answer follows.
     Answer(AnswerHead),
-    /// The attempt never starts at this owner.
+    /// The owner declined the attempt and will never start it.
     Bounce {
-        /// The attempt.
+        /// ID of the attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Reason for the decline.
         reason: BounceReason,
     },
-    /// The home of the key is elsewhere; nothing started.
+    /// Another node is the home of the key; the call was not started.
     Moved {
-        /// The attempt.
+        /// ID of the attempt.
         attempt: AttemptId,
-        /// Name of the VM that is the home as far as is known.
+        /// Name of the VM recorded as the home.
         home: Arc<str>,
     },
-    /// This node is not the home of the key and does not know who is; nothing started.
+    /// This node is not the home of the key and has no record of the home; the call was not started.
     NotHome {
-        /// The attempt.
+        /// ID of the attempt.
         attempt: AttemptId,
-        /// Number of the code.
+        /// Number of the result code.
         code: u16,
     },
-    /// The result of a cancel.
+    /// Result of a cancellation.
     Cancelled {
-        /// The attempt.
+        /// ID of the attempt.
         attempt: AttemptId,
-        /// The result.
+        /// Result of the cancellation.
         result: CancelResult,
-        /// How long the owner's process has lived, in milliseconds: one that started after the
-        /// attempt was sent cannot know what its earlier life did with it.
+        /// Uptime of the owner's process. A process that started after the attempt was sent has no record of what
+        /// the previous incarnation did with the attempt.
         up_ms: u32,
     },
-    /// Nothing but what rides along.
+    /// Empty reply, sent for the attached load report.
     Load,
-    /// What the node knows of VMs.
+    /// Membership, evacuations and claim pages of the sender.
     Gossip {
-        /// VMs that the sender knows.
+        /// VMs recorded at the sender.
         members: Vec<Member>,
-        /// Failure domains that are evacuated as far as the sender knows.
+        /// Evacuated failure domains recorded at the sender.
         evacuation: Evacuation,
-        /// What the sender says of its pages of claims.
+        /// State of the sender's claim pages.
         claims: ClaimNews,
     },
-    /// The failure domains that are evacuated.
+    /// Evacuated failure domains.
     Evacuation(Evacuation),
-    /// The bundle in force; its text follows.
+    /// Bundle in force; its text follows as the body.
     Bundle {
-        /// Its number; zero when there is none.
+        /// Number of the bundle; zero if no bundle is in force.
         number: u64,
-        /// Its version.
+        /// Version of the bundle.
         version: String,
     },
-    /// What has changed in the store; it follows as the body.
+    /// Store update; it follows as the body.
     News {
-        /// Length of the body, in bytes.
+        /// Length of the body.
         body_bytes: u32,
-        /// How long ago the store was known to stand where the news end, in milliseconds.
+        /// Time since the store was last confirmed to be at the position at which the update ends.
         age_ms: u32,
     },
-    /// How runs of the upstream's present start ended, by route.
+    /// Outcomes of runs since the last start of the upstream, by route.
     Runs(Vec<RouteRuns>),
-    /// What an account's home grants.
+    /// Credits granted by the home of an account.
     Quota {
-        /// Calls that the asking entry may admit.
+        /// Number of calls that the requesting entry may admit.
         calls: u32,
-        /// When to ask again where there are none, in milliseconds.
+        /// Delay before the next request, if no calls were granted.
         retry_after_ms: u32,
     },
-    /// This node is not the home that was asked for.
+    /// This node is not the home of the account.
     NoQuota,
-    /// This node does not follow the store closely enough to be followed itself.
+    /// This node's copy of the store is not recent enough to serve followers.
     NoNews,
-    /// As many nodes follow this one as it bears.
+    /// This node already serves its maximum number of followers.
     FollowersFull,
 }
 
-/// A reply with what rides on it.
+/// Head of a reply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplyHead {
     /// The reply.
     pub reply: Reply,
-    /// What rides along.
+    /// State attached by the sender.
     pub riding: Riding,
 }
 
-/// A question with its body.
+/// A request with its body.
 #[derive(Debug, Clone)]
 pub struct Question {
-    /// The head.
+    /// Head of the request.
     pub ask: Ask,
-    /// The body; empty where the question has none.
+    /// Body; empty if the request has none.
     pub body: Bytes,
 }
 
 /// A reply with its body.
 #[derive(Debug, Clone)]
 pub struct Answered {
-    /// The head.
+    /// Head of the reply.
     pub head: ReplyHead,
-    /// The body; empty where the reply has none.
+    /// Body; empty if the reply has none.
     pub body: Bytes,
 }
--- a/valetrack/src/link/mod.rs
+++ b/valetrack/src/link/mod.rs
@@ -1,7 +1,8 @@
 //! QUIC between nodes: frames, mutual TLS, connections kept open.
 //!
-//! Contract: only holders of a certificate of the fleet's own authority are heard; a frame is
-//! taken whole or not at all; a broken connection is told as broken, never as an answer.
+//! Contract: a node with a keys folder accepts only peers with a certificate of the fleet's authority (see
+//! [`tls::generate`] for nodes without one). Incomplete frames are discarded. A broken connection is reported as broken
+//! and never as an answer.
 
 pub mod codec;
 pub mod message;
--- a/valetrack/src/link/peer.rs
+++ b/valetrack/src/link/peer.rs
@@ -1,4 +1,4 @@
-//! Connections to other nodes, kept open and shared by all questions.
+//! Connections to other nodes, which stay open and are shared by all requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,46 +17,48 @@
 use crate::clock::{Moment, SuspensionWatch, now_us, suspended_us};
 use crate::gate::CancelResult;
 
-/// Time limit of a handshake, in milliseconds.
+/// Timeout of a handshake.
 const HANDSHAKE_MS: u64 = 400;
-/// Pause between two looks at whether a peer that owes a reply has been heard, in milliseconds.
-const LOOK_MS: u64 = 250;
-/// Looks without a packet after which a peer counts as gone: a second, ten times as long as a VM
-/// that has used up its share of a core stands still.
-const SILENT_LOOKS: u32 = 4;
-/// A question that was given up after this time without a packet from the peer closes the link, in
-/// milliseconds: five times as long as such a VM stands still.
+/// Interval of checks for received packets while a reply is pending.
+const CHECK_INTERVAL_MS: u64 = 250;
+/// Checks in a row without a received packet after which the peer counts as unresponsive. They take one second, ten
+/// times as long as a VM is paused after it has used up its share of a core.
+const SILENT_CHECKS_MAX: u32 = 4;
+/// Time without a packet from the peer after which an abandoned request closes the link. It is five times as long as
+/// a VM is paused after it has used up its share of a core.
 const SILENT_MS: u64 = 500;
-/// Error code of a stream or link that this node gives up.
-const GIVEN_UP: u32 = 1;
-/// After a failed handshake the next is tried no sooner than this, in microseconds.
+/// Error code of a stream or link that this node abandons.
+const ABANDONED: u32 = 1;
+/// Shortest time between a failed handshake and the next one with the same peer.
 const REDIAL_US: u64 = 200_000;
-/// Largest whole frame, in bytes.
+/// Largest frame, including the length prefix.
 pub const FRAME_MAX_BYTES: usize = codec::LENGTH_BYTES + HEAD_MAX_BYTES + BODY_MAX_BYTES;
 
-/// Where a node is, and which VM's certificate it must show.
+/// Address of a node and the VM that its certificate must name.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Target {
     /// Name of the VM.
     pub vm: Arc<str>,
-    /// Address of its links.
+    /// Address on which the node accepts links.
     pub addr: SocketAddr,
 }
 
-/// How a question ended.
+/// Result of a request to another node.
 #[derive(Debug)]
 pub enum LinkResult {
     /// The reply.
     Reply(Box<Answered>),
-    /// The question was never sent.
+    /// The request was not sent.
     Unsent,
-    /// The question was sent, at least in part, and no whole reply came.
+    /// The request was sent at least in part, and no complete reply was received.
     Broken,
 }
 
 impl LinkResult {
-    /// Returns the result of a cancel of an attempt that was sent `sent_ago`, if this is one and its
-    /// owner's process lived already when the attempt was sent.
+    /// Returns the result of a cancellation of an attempt that was sent `sent_ago`.
+    ///
+    /// Returns `None` for every other reply. If the owner's process started after the attempt was sent, only `Started`
+    /// and `Rejected` are returned, because the process has no record of earlier attempts.
     pub fn cancel_result(&self, sent_ago: Duration) -> Option<CancelResult> {
         let Self::Reply(answered) = self else {
             return None;
@@ -64,55 +66,55 @@
         let Reply::Cancelled { result, up_ms, .. } = answered.head.reply else {
             return None;
         };
-        let lived = Duration::from_millis(up_ms.into()) > sent_ago;
-        let remembered = matches!(result, CancelResult::Started | CancelResult::Rejected);
-        (lived || remembered).then_some(result)
+        let was_running = Duration::from_millis(up_ms.into()) > sent_ago;
+        let is_recorded = matches!(result, CancelResult::Started | CancelResult::Rejected);
+        (was_running || is_recorded).then_some(result)
     }
 }
 
-/// A question on its way through the ring to the link thread.
+/// Request passed through the ring to the link thread.
 #[derive(Debug)]
 pub struct LinkJob {
-    /// Whom to ask.
+    /// Node that the request is sent to.
     pub target: Target,
-    /// What to ask.
-    pub question: Question,
-    /// How long to wait for the reply.
+    /// The request.
+    pub request: Question,
+    /// Timeout of the reply.
     pub limit: Duration,
-    /// Where the result goes.
+    /// Receives the result.
     pub reply: oneshot::Sender<LinkResult>,
 }
 
-/// Asks another node through the ring of the link thread, and waits for the result.
-pub async fn ask(ring: &Sender<LinkJob>, target: Target, question: Question, limit: Duration) -> LinkResult {
+/// Sends a request to another node through the ring of the link thread and waits for the result.
+pub async fn ask(ring: &Sender<LinkJob>, target: Target, request: Question, limit: Duration) -> LinkResult {
     let (reply, result) = oneshot::channel();
-    if ring.send(LinkJob { target, question, limit, reply }).await.is_err() {
+    if ring.send(LinkJob { target, request, limit, reply }).await.is_err() {
         return LinkResult::Unsent;
     }
     result.await.unwrap_or(LinkResult::Broken)
 }
 
-/// Asks another node as [`ask`] does, and gives up after `limit` whatever is waited for; a handshake
-/// may otherwise come on top.
-pub async fn ask_within(ring: &Sender<LinkJob>, target: Target, question: Question, limit: Duration) -> LinkResult {
-    timeout(limit, ask(ring, target, question, limit)).await.unwrap_or(LinkResult::Broken)
+/// Sends a request like [`ask`], with `limit` as the timeout of the whole operation. In [`ask`] the time of a handshake
+/// is added to the limit.
+pub async fn ask_within(ring: &Sender<LinkJob>, target: Target, request: Question, limit: Duration) -> LinkResult {
+    timeout(limit, ask(ring, target, request, limit)).await.unwrap_or(LinkResult::Broken)
 }
 
 #[derive(Default)]
 struct Slot {
     connection: Option<Connection>,
-    /// From when the connection is.
+    /// Detects suspensions of this VM since the connection was opened.
     since: SuspensionWatch,
     failed_us: Option<u64>,
 }
 
 impl Slot {
-    /// Returns the connection, if it is open and this VM was not suspended since it was opened: the peer has
-    /// given it up meanwhile, and whatever is sent on it is lost.
+    /// Returns the connection if it is open and this VM was not suspended since it was opened. The peer abandons the
+    /// connection during a suspension, and packets sent on it afterwards are lost.
     fn open(&mut self) -> Option<Connection> {
         let connection = self.connection.take().filter(|connection| connection.close_reason().is_none())?;
         if self.since.take(suspended_us()).is_some() {
-            connection.close(GIVEN_UP.into(), b"suspended");
+            connection.close(ABANDONED.into(), b"suspended");
             return None;
         }
         self.connection = Some(connection.clone());
@@ -126,34 +128,34 @@
     }
 }
 
-/// All connections that this node has opened.
+/// Outgoing connections of this node.
 pub struct Peers {
     endpoint: Endpoint,
     slots: std::cell::RefCell<HashMap<Target, Rc<Mutex<Slot>>>>,
 }
 
 impl Peers {
-    /// Makes an empty set on an endpoint.
+    /// Returns an empty set of connections on an endpoint.
     pub fn new(endpoint: Endpoint) -> Self {
         Self { endpoint, slots: Default::default() }
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn open_count(&self) -> usize {
         let open = |slot: &&Rc<Mutex<Slot>>| slot.try_lock().is_ok_and(|slot| slot.connection.is_some());
         self.slots.borrow().values().filter(open).count()
     }
 
-    /// Asks a question; the wait for the reply is bounded by `limit`.
-    pub async fn ask(&self, target: &Target, question: Question, limit: Duration) -> LinkResult {
-        let Ok(head) = codec::pack(&question.ask) else {
+    /// Sends a request and waits for the reply for at most `limit`.
+    pub async fn ask(&self, target: &Target, request: Question, limit: Duration) -> LinkResult {
+        let Ok(head) = codec::pack(&request.ask) else {
             return LinkResult::Unsent;
         };
         let Some(connection) = self.connection(target).await else {
             return LinkResult::Unsent;
         };
-        let asked = timeout(limit, exchange(&connection, head, question.body)).await;
-        match asked {
+        let exchanged = timeout(limit, exchange(&connection, head, request.body)).await;
+        match exchanged {
             Ok(Ok(answered)) => LinkResult::Reply(Box::new(answered)),
             Ok(Err(ExchangeError::Unsent)) => LinkResult::Unsent,
             Ok(Err(ExchangeError::Frame(error))) => {
@@ -166,7 +168,7 @@
 
     async fn connection(&self, target: &Target) -> Option<Connection> {
         let slot = self.slots.borrow_mut().entry(target.clone()).or_default().clone();
-        // Whoever comes while a handshake is under way waits for its result.
+        // Concurrent requests wait here for the result of a handshake in progress.
         let mut slot = slot.lock().await;
         if let Some(connection) = slot.open() {
             return Some(connection);
@@ -200,45 +202,47 @@
     Frame(FrameError),
 }
 
-/// A question that is out; dropped before its reply came, it takes back what was not delivered,
-/// so that no copy of a call reaches its owner after its entry has given it up.
-struct OpenQuestion {
+/// A request in flight.
+///
+/// If it is dropped before the reply is received, it resets the stream. No copy of a call then reaches the owner after
+/// the entry has abandoned the call.
+struct OpenRequest {
     connection: Connection,
     send: SendStream,
     answered: bool,
-    asked: Moment,
-    /// Packets that the peer had sent when the question went out.
-    heard: u64,
+    sent_at: Moment,
+    /// Packets received from the peer before the request was sent.
+    packets_before: u64,
 }
 
-impl OpenQuestion {
+impl OpenRequest {
     fn new(connection: &Connection, send: SendStream) -> Self {
-        let heard = connection.stats().udp_rx.datagrams;
-        Self { connection: connection.clone(), send, answered: false, asked: Moment::now(), heard }
+        let packets_before = connection.stats().udp_rx.datagrams;
+        Self { connection: connection.clone(), send, answered: false, sent_at: Moment::now(), packets_before }
     }
 
     fn close_silent_link(&self) {
         log::info!(
             "event=link.silent peer={} after_ms={}",
             self.connection.remote_address(),
-            self.asked.elapsed().as_millis()
+            self.sent_at.elapsed().as_millis()
         );
-        self.connection.close(GIVEN_UP.into(), b"silent");
+        self.connection.close(ABANDONED.into(), b"silent");
     }
 }
 
-impl Drop for OpenQuestion {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         if self.answered {
             return;
         }
-        // It fails only where the stream is closed already.
-        let _ = self.send.reset(GIVEN_UP.into());
-        // A peer that lives acknowledges a question within some milliseconds. Whoever asked may
-        // have had less time than the looks take, and the next question must not be lost as well.
-        let silent = self.connection.stats().udp_rx.datagrams == self.heard;
+        // The reset fails only if the stream is already closed.
+        let _ = self.send.reset(ABANDONED.into());
+        // A live peer acknowledges a request within some milliseconds. The timeout of this request may be shorter than
+        // the checks in `silence` take, so the link is closed here to keep the next request from being lost as well.
+        let silent = self.connection.stats().udp_rx.datagrams == self.packets_before;
         if silent
-            && self.asked.elapsed() >= Duration::from_millis(SILENT_MS)
+            && self.sent_at.elapsed() >= Duration::from_millis(SILENT_MS)
             && self.connection.close_reason().is_none()
         {
             self.close_silent_link();
@@ -248,33 +252,34 @@
 
 async fn exchange(connection: &Connection, head: Bytes, body: Bytes) -> Result<Answered, ExchangeError> {
     let (send, mut receive) = connection.open_bi().await.map_err(|_| ExchangeError::Unsent)?;
-    let mut question = OpenQuestion::new(connection, send);
+    let mut request = OpenRequest::new(connection, send);
     let mut chunks = [head, body];
-    question.send.write_all_chunks(&mut chunks).await.map_err(|_| ExchangeError::Broken)?;
-    question.send.finish().map_err(|_| ExchangeError::Broken)?;
+    request.send.write_all_chunks(&mut chunks).await.map_err(|_| ExchangeError::Broken)?;
+    request.send.finish().map_err(|_| ExchangeError::Broken)?;
     let frame = tokio::select! {
         frame = receive.read_to_end(FRAME_MAX_BYTES) => frame.map_err(|_| ExchangeError::Broken)?,
         () = silence(connection) => {
-            question.close_silent_link();
+            request.close_silent_link();
             return Err(ExchangeError::Broken);
         }
     };
-    question.answered = true;
+    request.answered = true;
     let (head, body) = codec::unpack::<ReplyHead>(Bytes::from(frame)).map_err(ExchangeError::Frame)?;
     Ok(Answered { head, body })
 }
 
-/// Waits until a peer that is asked for signs of life has given none for [`SILENT_LOOKS`] looks.
+/// Sends empty datagrams to the peer, and returns after [`SILENT_CHECKS_MAX`] checks in a row have found no new packet
+/// from it.
 async fn silence(connection: &Connection) {
-    let mut heard = connection.stats().udp_rx.datagrams;
-    let mut looks = 0;
-    while looks < SILENT_LOOKS {
-        tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
-        let now = connection.stats().udp_rx.datagrams;
-        looks = if now == heard { looks + 1 } else { 0 };
-        heard = now;
-        // It is acknowledged by whoever lives, and fails only where the link is closed, which ends
-        // the wait for the reply as well.
+    let mut packets_before = connection.stats().udp_rx.datagrams;
+    let mut silent_checks = 0;
+    while silent_checks < SILENT_CHECKS_MAX {
+        tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
+        let packets = connection.stats().udp_rx.datagrams;
+        silent_checks = if packets == packets_before { silent_checks + 1 } else { 0 };
+        packets_before = packets;
+        // A live peer acknowledges the datagram. Sending fails only if the link is closed, which also ends the wait
+        // for the reply.
         let _ = connection.send_datagram(Bytes::new());
     }
 }
--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -1,4 +1,4 @@
-//! The link thread: the QUIC endpoint, questions of other nodes, and this VM's gate.
+//! The link thread: the QUIC endpoint, requests to and from other nodes, and the gate of this VM.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -35,48 +35,48 @@
 use crate::store::Position;
 use crate::timeline::log as events;
 
-/// Pause between two health checks of an upstream of which nothing was heard, in milliseconds.
-const FIND_MS: u64 = 300;
-/// Time that a peer has to send its question, in milliseconds.
-const QUESTION_MS: u64 = 5_000;
+/// Interval of health checks of an upstream that has sent no announcement yet.
+const HEALTH_CHECK_INTERVAL_MS: u64 = 300;
+/// Time within which a peer must send the whole request.
+const REQUEST_TIMEOUT_MS: u64 = 5_000;
 
-/// What the link thread is joined to.
+/// Settings, rings and published state that the link thread uses.
 pub struct LinkParts {
     /// Name of this VM.
     pub vm: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of this VM.
     pub domain: Arc<str>,
-    /// The VMs.
+    /// VMs of the fleet.
     pub members: watch::Receiver<Arc<Members>>,
-    /// The service of this VM's server.
+    /// Service of this VM's server.
     pub service: Arc<str>,
-    /// Address of that server.
+    /// Address of this VM's server.
     pub server_addr: SocketAddr,
-    /// Questions of this node's other threads.
+    /// Requests of this node's other threads to other nodes.
     pub jobs: Receiver<LinkJob>,
-    /// Ring to the claims.
+    /// Ring to the claim thread.
     pub to_claim: Sender<ClaimJob>,
-    /// Ring to the members.
+    /// Ring to the member thread.
     pub to_member: Sender<MemberJob>,
-    /// Ring to the thread of crashes.
+    /// Ring to the crash thread.
     pub to_crash: Sender<CrashJob>,
-    /// The bundle in force.
+    /// Bundle in force.
     pub bundle: watch::Receiver<Option<Arc<InForce>>>,
-    /// How calls are put to the server and its answers are read.
+    /// Protocol between this node and its server.
     pub upstream_protocol: Arc<dyn UpstreamProtocol>,
-    /// State of the server as its announcements tell it.
+    /// State of the server according to its announcements.
     pub upstream: watch::Receiver<UpstreamState>,
-    /// Ring to whoever keeps that state, for what health checks find.
+    /// Ring to the announcement thread, for results of health checks; `None` if the platform has no announcements.
     pub to_upstream: Option<Sender<Announcement>>,
-    /// Turns true when this node leaves.
+    /// Becomes true when this node starts to leave.
     pub leaving: watch::Receiver<bool>,
-    /// Time for which the server still gets new work after leaving has begun.
+    /// Time for which the server still receives new work after the node has started to leave.
     pub drain_after: Duration,
-    /// Notified when the server itself says that it is about to stop.
+    /// Notified when the server announces that it is about to stop.
     pub server_leaving: Arc<Notify>,
-    /// Told when the gate holds nothing any more after leaving has begun.
+    /// Set to true once the gate is idle after the node has started to leave.
     pub drained: watch::Sender<bool>,
-    /// Turns true when the thread is to end.
+    /// Becomes true when the thread must end.
     pub closing: watch::Receiver<bool>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
@@ -89,14 +89,14 @@
     peers: Peers,
 }
 
-/// Binds the endpoint of links; it must be called inside the link thread's runtime.
+/// Binds the endpoint of links; must be called inside the runtime of the link thread.
 ///
-/// All lives of one VM have the same key for resets, so that a node which has just started tells
-/// the peers of its earlier life at once that their links are gone.
+/// The key of stateless resets and connection IDs is derived from the name of the VM, so all incarnations of a VM share
+/// it. A restarted node can then reset the links of its previous incarnation as soon as a peer uses them.
 ///
 /// # Errors
 ///
-/// Returns why the address could not be bound.
+/// Returns an error if the address cannot be bound.
 pub fn bind(addr: SocketAddr, vm: &str, tls: LinkTls) -> std::io::Result<Endpoint> {
     let key = Sha256::digest(vm.as_bytes());
     let mut id_key = [0; 8];
@@ -111,8 +111,10 @@
     Ok(endpoint)
 }
 
-/// Serves links until told to close; must run on a local task set. `ledger` is the entry of this node,
-/// `crashes` what it knows of calls that crash upstreams, and `quotas` grants credits of limited accounts.
+/// Serves links until `closing` becomes true; must run on a local task set.
+///
+/// `ledger` is the entry of this node, `crashes` holds the quarantined calls, and `quotas` grants credits of limited
+/// client accounts.
 pub async fn run(
     endpoint: Endpoint,
     ledger: Rc<dyn RunLedger>,
@@ -129,47 +131,47 @@
         metrics: parts.metrics.clone(),
     });
     let shell = Rc::new(Shell { gate, quotas, peers: Peers::new(endpoint.clone()), parts });
-    let mut duties = tokio::task::JoinSet::new();
-    duties.spawn_local(shell.gate.clone().keep_time());
-    duties.spawn_local(shell.gate.clone().follow_upstream());
+    let mut tasks = tokio::task::JoinSet::new();
+    tasks.spawn_local(shell.gate.clone().keep_time());
+    tasks.spawn_local(shell.gate.clone().follow_upstream());
     let members = shell.gate.clone().follow_members(shell.parts.domain.clone(), shell.parts.members.clone());
-    duties.spawn_local(members);
-    duties.spawn_local(shell.clone().find_upstream());
-    duties.spawn_local(shell.clone().follow_bundle());
-    duties.spawn_local(shell.clone().follow_leaving());
-    duties.spawn_local(shell.clone().accept(endpoint.clone()));
+    tasks.spawn_local(members);
+    tasks.spawn_local(shell.clone().find_upstream());
+    tasks.spawn_local(shell.clone().follow_bundle());
+    tasks.spawn_local(shell.clone().follow_leaving());
+    tasks.spawn_local(shell.clone().accept(endpoint.clone()));
     let mut closing = shell.parts.closing.clone();
     while let Some(job) = next_job(&shell.parts.jobs, &mut closing).await {
         tokio::task::spawn_local(shell.clone().ask(job));
     }
-    duties.shutdown().await;
+    tasks.shutdown().await;
     endpoint.close(0u32.into(), b"stopping");
     let _ = timeout(Duration::from_millis(200), endpoint.wait_idle()).await;
 }
 
 impl Shell {
     async fn ask(self: Rc<Self>, job: LinkJob) {
-        let LinkJob { target, question, limit, mut reply } = job;
+        let LinkJob { target, request, limit, mut reply } = job;
         let asked = async {
             if target.vm == self.parts.vm {
-                // The way to oneself needs no link.
-                let served = timeout(limit, self.serve(question)).await;
+                // A request to this node itself needs no link.
+                let served = timeout(limit, self.serve(request)).await;
                 return served.map_or(LinkResult::Broken, |answered| LinkResult::Reply(Box::new(answered)));
             }
-            self.peers.ask(&target, question, limit).await
+            self.peers.ask(&target, request, limit).await
         };
         let result = tokio::select! {
             result = asked => result,
-            // Dropping the question closes its stream, which tells the owner to stop.
+            // Dropping the request resets its stream, which makes the owner stop.
             () = reply.closed() => return,
         };
         self.parts.metrics.links.set(self.peers.open_count() as i64);
-        // Whoever asked may have gone away at this very moment; then the reply has no reader.
+        // Sending fails if the requester has just dropped its receiver.
         let _ = reply.send(result);
     }
 
-    /// Asks the upstream itself for its state until something was heard of it, so that a node
-    /// that starts again need not wait for the next announcement.
+    /// Checks the health of the upstream until its state is known. A restarted node thus doesn't wait for the next
+    /// announcement.
     async fn find_upstream(self: Rc<Self>) {
         let Some(to_upstream) = self.parts.to_upstream.clone() else {
             return;
@@ -189,11 +191,11 @@
                     version: None,
                     cold_ms,
                 };
-                // The ring is read as long as the node runs.
+                // The ring is read until the node stops.
                 let _ = to_upstream.send(found).await;
                 return;
             }
-            tokio::time::sleep(Duration::from_millis(FIND_MS)).await;
+            tokio::time::sleep(Duration::from_millis(HEALTH_CHECK_INTERVAL_MS)).await;
         }
     }
 
@@ -223,11 +225,12 @@
         }
     }
 
-    /// Serves one question on a link that was opened at `since`.
+    /// Serves one request on a link that was opened at `since`.
     ///
-    /// What came before a suspension of this VM is not served after it: whoever asked has given it up, and has
-    /// perhaps been told that it never starts, by a word that this node remembers for some seconds only. With the
-    /// link closed, it asks on another one and hears that nothing has started.
+    /// Requests from before a suspension of this VM are not served after it. The sender has abandoned the request, and
+    /// this node may have replied to a cancellation that the attempt never starts, which it records for some seconds
+    /// only. Because the link is closed, the sender repeats the cancellation on another link and is told that the
+    /// attempt was not started.
     async fn serve_stream(
         self: Rc<Self>,
         connection: Connection,
@@ -235,7 +238,7 @@
         mut receive: RecvStream,
         mut since: SuspensionWatch,
     ) {
-        let reading = timeout(Duration::from_millis(QUESTION_MS), receive.read_to_end(FRAME_MAX_BYTES));
+        let reading = timeout(Duration::from_millis(REQUEST_TIMEOUT_MS), receive.read_to_end(FRAME_MAX_BYTES));
         let Ok(Ok(frame)) = reading.await else {
             self.parts.metrics.bad_frames.inc();
             return;
@@ -245,7 +248,7 @@
             connection.close(u32::from(crate::code::Code::LinkLost.number()).into(), b"suspended");
             return;
         }
-        let question = match codec::unpack::<Ask>(Bytes::from(frame)) {
+        let request = match codec::unpack::<Ask>(Bytes::from(frame)) {
             Ok((ask, body)) => Question { ask, body },
             Err(error) => {
                 self.parts.metrics.bad_frames.inc();
@@ -255,8 +258,8 @@
             }
         };
         let answered = tokio::select! {
-            answered = self.serve(question) => answered,
-            // The entry wants no reply any more, or the link broke: whatever may be given up is.
+            answered = self.serve(request) => answered,
+            // The entry no longer waits for the reply, or the link broke: the work is cancelled where possible.
             _ = send.stopped() => return,
         };
         let Ok(head) = codec::pack(&answered.head) else {
@@ -269,8 +272,8 @@
         }
     }
 
-    async fn serve(&self, question: Question) -> Answered {
-        let Question { ask, body } = question;
+    async fn serve(&self, request: Question) -> Answered {
+        let Question { ask, body } = request;
         let (reply, body) = match ask {
             Ask::Run(head) => self.run_call(head, body).await,
             Ask::RunKeyed(head) => self.run_keyed(head, body).await,
@@ -302,7 +305,7 @@
                 (reply, Bytes::new())
             }
             Ask::Crashes { from, reports } => {
-                // The ring is read as long as the node runs.
+                // The ring is read until the node stops.
                 let _ = self.parts.to_crash.send(CrashJob::Heard { from, reports }).await;
                 (Reply::Load, Bytes::new())
             }
@@ -314,7 +317,7 @@
         events::observe(head.hlc);
         let attempt = head.attempt;
         if head.service != self.parts.service {
-            // The address belongs to another service now; the sender's view is old.
+            // Another service has this address now; the sender's view of the members is outdated.
             return (Reply::Bounce { attempt, reason: BounceReason::Refused }, Bytes::new());
         }
         match self.gate.call(head, body).await {
@@ -364,7 +367,7 @@
         if self.parts.to_member.send(job).await.is_err() {
             return (Reply::NoNews, Bytes::new());
         }
-        // The reply is dropped where nothing is kept for followers.
+        // The member thread drops the sender if this node doesn't serve followers.
         match news.await {
             Ok(FollowerNews::News { packed, age_ms }) => {
                 (Reply::News { body_bytes: packed.len() as u32, age_ms }, packed)
@@ -416,7 +419,7 @@
         if leaving.wait_for(|leaving| *leaving).await.is_err() {
             return;
         }
-        // Callers learn of it only after a while, and the server runs on until the end.
+        // Callers learn about the leave with a delay, and the server runs until the node stops.
         tokio::time::sleep(self.parts.drain_after).await;
         self.gate.drain();
         while !self.gate.idle() {
--- a/valetrack/src/link/tests.rs
+++ b/valetrack/src/link/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of frames: whatever is packed comes back, and nothing else gets through.
+//! Tests of frames, of keys and of cancellation results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
     })]
 
     #[test]
-    fn a_frame_comes_back_as_it_went(
+    fn frame_round_trip_preserves_head_and_body(
         path in ".{0,80}",
         headers in prop::collection::vec((".{0,20}", prop::collection::vec(any::<u8>(), 0..40)), 0..8),
         body in prop::collection::vec(any::<u8>(), 0..500),
@@ -70,7 +70,7 @@
     }
 
     #[test]
-    fn a_frame_cut_short_or_too_long_is_refused(
+    fn truncated_or_overlong_frame_is_refused(
         body in prop::collection::vec(any::<u8>(), 1..200),
         cut in any::<usize>(),
         extra in 1..50usize,
@@ -85,27 +85,27 @@
     }
 
     #[test]
-    fn garbage_never_panics(frame in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn unpacking_random_bytes_never_panics(frame in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = unpack::<Ask>(Bytes::copy_from_slice(&frame));
         let _ = unpack::<ReplyHead>(Bytes::from(frame));
     }
 }
 
-#[test_case(&[], FrameError::WrongLength { got: 0, wanted: LENGTH_BYTES }; "nothing")]
+#[test_case(&[], FrameError::WrongLength { got: 0, wanted: LENGTH_BYTES }; "an empty frame")]
 #[test_case(&[0xff; 8], FrameError::HeadTooLarge { bytes: 0xffff_ffff }; "a head of four gigabytes")]
-#[test_case(&[0, 0, 0, 2, 0xff, 0xff], FrameError::Undecodable; "a head that is no head")]
-fn bad_frames_are_told_apart(frame: &[u8], expected: FrameError) {
+#[test_case(&[0, 0, 0, 2, 0xff, 0xff], FrameError::Undecodable; "an undecodable head")]
+fn each_invalid_frame_has_its_own_error(frame: &[u8], expected: FrameError) {
     assert_eq!(unpack::<Ask>(Bytes::copy_from_slice(frame)), Err(expected));
 }
 
 #[test]
-fn a_head_over_its_cap_is_not_sent() {
+fn head_over_its_limit_is_not_packed() {
     let ask = call("x".repeat(HEAD_MAX_BYTES), Vec::new(), 0, None);
     assert!(matches!(pack(&ask), Err(FrameError::HeadTooLarge { .. })));
 }
 
 #[test]
-fn what_rides_on_a_reply_is_small() {
+fn piggybacked_state_of_a_reply_is_small() {
     let load = LoadReport {
         limit: 12,
         in_flight: 12,
@@ -127,16 +127,16 @@
 }
 
 #[test]
-fn keys_are_made_once_and_say_when_they_expire() {
+fn keys_are_created_once_and_report_their_expiry() {
     let dir = std::env::temp_dir().join(format!("valetrack-keys-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     tls::make_authority(&dir).expect("an authority");
-    assert!(tls::make_authority(&dir).is_err(), "an authority is never written over");
+    assert!(tls::make_authority(&dir).is_err(), "an authority is never overwritten");
     tls::make_node(&dir, "kranj-1").expect("a certificate");
     let days: Vec<(String, i64)> =
         tls::expiries(&dir).expect("both").into_iter().map(|expiry| (expiry.file, expiry.days_left)).collect();
     assert_eq!(days[0].0, "kranj-1.pem");
-    // The last day counts as whole only within the second in which the certificate was made.
+    // `days_left` is rounded down: it is a full 365 only within the second in which the certificate was created.
     assert!((tls::CERTIFICATE_DAYS - 1..=tls::CERTIFICATE_DAYS).contains(&days[0].1), "{days:?}");
     assert_eq!(days[1].0, "ca.pem");
     assert!(tls::load(&dir, "kranj-1").is_ok());
@@ -144,30 +144,30 @@
     std::fs::remove_dir_all(&dir).expect("an empty place");
 }
 
-/// Most bytes that may cross, there and back, for a link that is opened for one small question: four
-/// datagrams of the handshake that must be full ones, and as much again for keys and acknowledgements.
+/// Limit of bytes in both directions for a link that is opened for one small request: four handshake datagrams that
+/// must be padded to full size, and as much again for keys and acknowledgements.
 const OPENED_MAX_BYTES: u64 = 5_000;
 
 #[tokio::test]
-async fn a_link_costs_little_more_than_its_handshake() {
+async fn link_for_one_request_costs_little_beyond_its_handshake() {
     let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     let owner = run::bind(any, "vm-2", tls::generate("vm-2").expect("keys")).expect("an endpoint");
     let entry = run::bind(any, "vm-1", tls::generate("vm-1").expect("keys")).expect("an endpoint");
     let addr = owner.local_addr().expect("an address");
     let echo = tokio::spawn(async move {
         let connection = owner.accept().await.expect("a peer").await.expect("a link");
-        let (mut send, mut receive) = connection.accept_bi().await.expect("a question");
-        let question = receive.read_to_end(100).await.expect("all of it");
-        send.write_all(&question).await.expect("a reply");
+        let (mut send, mut receive) = connection.accept_bi().await.expect("a request stream");
+        let request = receive.read_to_end(100).await.expect("all of it");
+        send.write_all(&request).await.expect("a reply");
         send.finish().expect("an open stream");
         connection.closed().await;
     });
     let connection = entry.connect(addr, "vm-2").expect("a target").await.expect("a link");
     let (mut send, mut receive) = connection.open_bi().await.expect("a stream");
-    send.write_all(b"question").await.expect("room");
+    send.write_all(b"question").await.expect("an open stream");
     send.finish().expect("an open stream");
     assert_eq!(receive.read_to_end(100).await.expect("a reply"), b"question");
-    // Whatever a link sends on its own after its handshake has gone out by then.
+    // Packets that a link sends on its own after the handshake have been sent by then.
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     let stats = connection.stats();
     let crossed_bytes = stats.udp_tx.bytes + stats.udp_rx.bytes;
@@ -176,13 +176,14 @@
     echo.await.expect("the peer");
 }
 
-/// Reads a clock of a VM at a moment, given when it was suspended.
+/// Returns the reading of a VM's clock at a boot time, given the VM's suspensions.
 type ClockAt = dyn Fn(u64, &[(u64, u64)]) -> u64;
 
-/// One VM's clocks: steady time goes on by as much as boot time, but for its suspensions.
+/// Returns the steady time of a VM, which advances with its boot time except during suspensions.
 fn steady_us(boot_us: u64, suspensions: &[(u64, u64)]) -> u64 {
-    let slept = suspensions.iter().map(|(from_us, to_us)| to_us.min(&boot_us).saturating_sub(*from_us)).sum::<u64>();
-    boot_us - slept
+    let suspended_us =
+        suspensions.iter().map(|(from_us, to_us)| to_us.min(&boot_us).saturating_sub(*from_us)).sum::<u64>();
+    boot_us - suspended_us
 }
 
 proptest! {
@@ -194,41 +195,48 @@
     })]
 
     #[test]
-    fn a_word_counts_only_from_a_life_that_was_there_whoever_is_suspended_at_any_point(
+    fn cancel_result_of_later_incarnation_is_ignored_despite_suspensions(
         sent_s in 0..60_u64,
         started_s in 0..60_u64,
         asked_s in 60..70_u64,
-        entry_sleeps in (0..40_u64, 0..30_u64),
-        owner_sleeps in (0..40_u64, 0..30_u64),
+        entry_suspension in (0..40_u64, 0..30_u64),
+        owner_suspension in (0..40_u64, 0..30_u64),
     ) {
         let second = 1_000_000;
-        let sleep = |(from_s, for_s): (u64, u64)| [(from_s * second, (from_s + for_s).min(60) * second)];
-        let (entry, owner) = (sleep(entry_sleeps), sleep(owner_sleeps));
-        let word = |clock: &ClockAt| {
-            let span = |from_s: u64, sleeps: &[(u64, u64)]| {
-                clock(asked_s * second, sleeps) - clock(from_s * second, sleeps)
+        let suspension = |(from_s, for_s): (u64, u64)| [(from_s * second, (from_s + for_s).min(60) * second)];
+        let (entry, owner) = (suspension(entry_suspension), suspension(owner_suspension));
+        let is_counted = |clock: &ClockAt| {
+            let elapsed_us = |from_s: u64, spans: &[(u64, u64)]| {
+                clock(asked_s * second, spans) - clock(from_s * second, spans)
             };
-            let up_ms = (span(started_s, &owner) / 1000) as u32;
+            let up_ms = (elapsed_us(started_s, &owner) / 1000) as u32;
             let reply = Reply::Cancelled { attempt: AttemptId { entry: 1, seq: 2 }, result: CancelResult::NeverStarted, up_ms };
             let head = ReplyHead { reply, riding: Riding { load: LoadReport::default(), bundle: 0, hlc: 0 } };
             let result = LinkResult::Reply(Box::new(Answered { head, body: Bytes::new() }));
-            result.cancel_result(Duration::from_micros(span(sent_s, &entry))).is_some()
+            result.cancel_result(Duration::from_micros(elapsed_us(sent_s, &entry))).is_some()
         };
-        let was_there = started_s < sent_s;
-        prop_assert_eq!(word(&|boot_us, _| boot_us), was_there);
-        // By the steady clock an entry that was suspended takes a later life for the one that it asked.
-        let misled = word(&steady_us);
-        let sleeps_between = |sleeps: &[(u64, u64)], from_s: u64| sleeps.iter().any(|(_, to_us)| *to_us > from_s * second);
-        prop_assert!(misled == was_there || sleeps_between(&entry, sent_s) || sleeps_between(&owner, started_s));
+        let was_running = started_s < sent_s;
+        prop_assert_eq!(is_counted(&|boot_us, _| boot_us), was_running);
+        // By the steady clock, an entry that was suspended mistakes a later incarnation for the one that it asked.
+        let by_steady_clock = is_counted(&steady_us);
+        let suspended_after =
+            |spans: &[(u64, u64)], from_s: u64| spans.iter().any(|(_, to_us)| *to_us > from_s * second);
+        prop_assert!(
+            by_steady_clock == was_running || suspended_after(&entry, sent_s) || suspended_after(&owner, started_s)
+        );
     }
 }
 
 #[test]
-fn by_the_steady_clock_a_suspended_entry_would_believe_a_later_life() {
-    // Sent in second 1, asked in second 12; the entry slept for ten seconds, and the owner started in second 8.
-    let sleeps = [(1_500_000, 11_500_000)];
-    let sent_ago = steady_us(12_000_000, &sleeps) - steady_us(1_000_000, &sleeps);
-    assert!(sent_ago < 4_000_000, "{sent_ago}: shorter than the owner's life, which knows nothing of the attempt");
+fn steady_clock_of_suspended_entry_would_accept_a_later_incarnation() {
+    // The attempt is sent in second 1 and cancelled in second 12. The entry is suspended for ten seconds between, and
+    // the owner starts in second 8.
+    let spans = [(1_500_000, 11_500_000)];
+    let sent_ago = steady_us(12_000_000, &spans) - steady_us(1_000_000, &spans);
+    assert!(
+        sent_ago < 4_000_000,
+        "{sent_ago}: shorter than the uptime of the owner, which has no record of the attempt"
+    );
 }
 
 fn member() -> Member {
@@ -245,7 +253,7 @@
 }
 
 #[test]
-fn messages_keep_their_places_on_the_wire() {
+fn messages_keep_their_positions_on_the_wire() {
     let frame = |ask: &Ask| pack(ask).expect("a frame")[LENGTH_BYTES..].to_vec();
     let asks = [
         Ask::Probe,
@@ -255,5 +263,5 @@
     ];
     let starts = asks.map(|ask| frame(&ask).into_iter().take(7).collect::<Vec<u8>>());
     assert_eq!(starts, [vec![3], vec![5], vec![6], vec![7, 1, 0, 2, 1, b'm', 5]]);
-    assert!(unpack::<Ask>(Bytes::from_static(&[0, 0, 0, 1, 99])).is_err(), "an unknown question is refused");
+    assert!(unpack::<Ask>(Bytes::from_static(&[0, 0, 0, 1, 99])).is_err(), "an unknown request is refused");
 }
--- a/valetrack/src/link/tls.rs
+++ b/valetrack/src/link/tls.rs
@@ -1,4 +1,4 @@
-//! Keys of the fleet: its authority, node certificates, and the TLS of links.
+//! Keys of the fleet: the certificate authority, node certificates, and the TLS configuration of links.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -21,38 +21,37 @@
 use super::message::ALPN;
 use crate::code::Code;
 
-/// A link that nobody uses is closed after this time, in milliseconds. Until then it stays open
-/// without a packet: keeping it alive would cost bytes with each pair of nodes, and a peer that is
-/// gone is noticed by the calls that wait for it (see [`super::peer`]).
+/// Time after which an unused link is closed. Links send no keep-alive packets, which would cost bytes for every pair
+/// of nodes. Requests that wait for a reply detect an unresponsive peer instead (see [`super::peer`]).
 pub const IDLE_MS: u32 = 30_000;
-/// Space for datagrams, in bytes; they carry nothing and only ask a peer for a sign of life.
+/// Receive buffer for datagrams, which are empty and only make a peer send an acknowledgement.
 const DATAGRAM_BYTES: usize = 1_024;
-/// Streams that a peer may have open at once.
+/// Streams that a peer may have open concurrently.
 const STREAMS_MAX: u32 = 2_048;
-/// Bytes that one stream may have under way.
+/// Bytes of one stream that may be in flight.
 const STREAM_WINDOW_BYTES: u32 = 1_048_576;
-/// Life of a certificate, in days.
+/// Validity period of a node certificate.
 pub const CERTIFICATE_DAYS: i64 = 365;
-/// A certificate that expires within this time is reported, in days.
+/// Remaining validity below which a certificate is reported as expiring.
 pub const EXPIRY_WARNING_DAYS: i64 = 30;
 
-/// Why keys could not be made, read or used.
+/// Error of generating, reading or using keys.
 #[derive(Debug, Snafu)]
 pub enum KeyError {
     /// A file could not be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
     /// A certificate or key is not valid.
     #[snafu(display("{}: {reason}", path.display()))]
     Invalid {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         reason: String,
     },
 }
@@ -84,11 +83,11 @@
     written.map_err(|source| KeyError::File { path: path.to_owned(), source })
 }
 
-/// Makes the fleet's authority: `ca.pem` and `ca.key`.
+/// Creates the certificate authority of the fleet: `ca.pem` and `ca.key`.
 ///
 /// # Errors
 ///
-/// Returns an error when a file is there already or cannot be written.
+/// Returns an error if a file already exists or cannot be written.
 pub fn make_authority(dir: &Path) -> Result<(), KeyError> {
     fs::create_dir_all(dir).map_err(|source| KeyError::File { path: dir.to_owned(), source })?;
     let path = dir.join("ca.pem");
@@ -102,11 +101,11 @@
     write(&path, &certificate.pem(), false)
 }
 
-/// Makes a node's certificate, signed by the authority in the same folder.
+/// Creates the certificate of a node, signed by the authority in the same folder.
 ///
 /// # Errors
 ///
-/// Returns an error when the authority cannot be read or a file is there already.
+/// Returns an error if the authority cannot be read, or a file already exists or cannot be written.
 pub fn make_node(dir: &Path, vm: &str) -> Result<(), KeyError> {
     let ca_path = dir.join("ca.pem");
     let ca_key_path = dir.join("ca.key");
@@ -125,26 +124,26 @@
 
 fn dated(mut params: CertificateParams, days: i64) -> CertificateParams {
     let now = OffsetDateTime::now_utc();
-    // Clocks of VMs differ a little, so a new certificate is good from an hour ago.
+    // The certificate is valid from one hour ago, because the clocks of VMs differ slightly.
     params.not_before = now - time::Duration::hours(1);
     params.not_after = now + time::Duration::days(days);
     params
 }
 
-/// When a certificate expires.
+/// Expiry of a certificate.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 pub struct Expiry {
     /// File name.
     pub file: String,
-    /// Days that are left; negative when it has expired.
+    /// Days until the certificate expires; negative after that.
     pub days_left: i64,
 }
 
-/// Reads the expiry of every certificate in a folder, the soonest first.
+/// Returns the expiry of every certificate in a folder, the earliest first.
 ///
 /// # Errors
 ///
-/// Returns an error when the folder or a certificate cannot be read.
+/// Returns an error if the folder or a certificate cannot be read.
 pub fn expiries(dir: &Path) -> Result<Vec<Expiry>, KeyError> {
     let entries = fs::read_dir(dir).map_err(|source| KeyError::File { path: dir.to_owned(), source })?;
     let mut found = Vec::new();
@@ -163,20 +162,20 @@
     Ok(found)
 }
 
-/// TLS of both ends of links.
+/// TLS configuration of links.
 #[derive(Debug, Clone)]
 pub struct LinkTls {
-    /// For links that others open.
+    /// Configuration of links that other nodes open.
     pub server: ServerConfig,
-    /// For links that this node opens.
+    /// Configuration of links that this node opens.
     pub client: ClientConfig,
 }
 
-/// Reads a node's keys and makes the TLS of its links; both ends must show a certificate.
+/// Reads the keys of a node and returns the TLS configuration of its links. Both ends must present a certificate.
 ///
 /// # Errors
 ///
-/// Returns an error when a file cannot be read or does not fit.
+/// Returns an error if a file cannot be read or is invalid.
 pub fn load(dir: &Path, vm: &str) -> Result<LinkTls, KeyError> {
     let ca_path = dir.join("ca.pem");
     let certificate_path = dir.join(format!("{vm}.pem"));
@@ -223,17 +222,17 @@
     LinkTls { server, client }
 }
 
-/// Makes a key for one life of a node that can be given none, and the TLS of its links.
+/// Generates a key for one incarnation of a node that has no keys folder, and returns the TLS configuration of its
+/// links.
 ///
-/// Links are then encrypted, but whoever reaches the address of a node may open one: such a
-/// node relies on its platform to keep strangers off the ports between nodes. Nothing in it
-/// depends on the time of day.
+/// Links are encrypted, but any host that reaches the address of the node can open one. Such a node relies on its
+/// platform to restrict access to the ports between nodes. The configuration doesn't depend on the time of day.
 ///
 /// # Errors
 ///
-/// Returns an error when no key can be made.
+/// Returns an error if the key or the configuration cannot be created.
 pub fn generate(vm: &str) -> Result<LinkTls, KeyError> {
-    let path = Path::new("(made at start)");
+    let path = Path::new("(generated at start)");
     let fault = |error: &dyn std::fmt::Display| invalid(path, error);
     let key = KeyPair::generate().map_err(|error| fault(&error))?;
     let params = CertificateParams::new(vec![vm.to_owned()]).map_err(|error| fault(&error))?;
@@ -260,7 +259,7 @@
     Ok(link_tls(server, client))
 }
 
-/// Takes any certificate whose key the peer holds.
+/// Accepts every certificate whose private key the peer holds.
 #[derive(Debug)]
 struct SelfSigned {
     provider: Arc<CryptoProvider>,
@@ -284,7 +283,7 @@
         _cert: &CertificateDer<'_>,
         _dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, rustls::Error> {
-        Err(rustls::Error::General("links speak TLS 1.3 only".into()))
+        Err(rustls::Error::General("links support TLS 1.3 only".into()))
     }
 
     fn verify_tls13_signature(
@@ -308,8 +307,8 @@
     transport.max_concurrent_bidi_streams(VarInt::from_u32(STREAMS_MAX));
     transport.max_concurrent_uni_streams(VarInt::from_u32(0));
     transport.stream_receive_window(VarInt::from_u32(STREAM_WINDOW_BYTES));
-    // Most links carry a few calls of some kilobytes. Probes for a larger datagram make a link that is
-    // opened for one question cost 15.6 kB in place of 4.3 kB, there and back (loopback).
+    // Most links carry a few calls of some kilobytes. With MTU discovery, a link that is opened for one request costs
+    // 15.6 kB instead of 4.3 kB in both directions together (on loopback).
     transport.mtu_discovery_config(None);
     transport.datagram_receive_buffer_size(Some(DATAGRAM_BYTES));
     transport
