--- a/valetrack/src/admin/mod.rs
+++ b/valetrack/src/admin/mod.rs
@@ -1,5 +1,5 @@
 //! The admin port: metrics, health, readiness, status and recent events.
 //!
-//! Contract: it only tells; nothing can be changed through it.
+//! Contract: the port is read-only.
 
 pub mod run;
--- a/valetrack/src/admin/run.rs
+++ b/valetrack/src/admin/run.rs
@@ -18,27 +18,27 @@
 use crate::metric::Metrics;
 use crate::timeline::log as events;
 
-/// Most connections at once.
+/// Limit of concurrent connections.
 const CONNECTIONS_MAX: usize = 32;
 
-/// What the admin port shows.
+/// Published state that the admin port shows.
 #[derive(Clone)]
 pub struct AdminParts {
-    /// Path by which the platform asks whether the node is ready, beside `/ready`.
+    /// Path of the platform's readiness check, in addition to `/ready`.
     pub ready_path: &'static str,
     /// Name of this VM.
     pub vm: Arc<str>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
-    /// The bundle in force.
+    /// Bundle in force.
     pub bundle: watch::Receiver<Option<Arc<InForce>>>,
-    /// VMs.
+    /// VMs of the fleet.
     pub members: watch::Receiver<Arc<Members>>,
-    /// Whether this node takes work.
+    /// Whether this node accepts work.
     pub serving: watch::Receiver<bool>,
-    /// Whether this node leaves.
+    /// Whether this node is leaving.
     pub leaving: watch::Receiver<bool>,
-    /// Turns true when the port is to close.
+    /// Becomes true when the port must close.
     pub closing: watch::Receiver<bool>,
 }
 
@@ -50,21 +50,21 @@
     leaving: bool,
     bundle_number: u64,
     bundle_version: &'a str,
-    /// Failure domains whose servers get nothing.
+    /// Failure domains whose servers receive no calls.
     evacuated: Vec<&'a str>,
     members: Vec<&'a Member>,
 }
 
-/// Serves operators until told to close; must run on a local task set.
+/// Serves the admin port until `closing` becomes true; must run on a local task set.
 pub async fn run(listener: TcpListener, parts: AdminParts) {
     let mut closing = parts.closing.clone();
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MAX));
+    let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             _ = closing.wait_for(|closing| *closing) => return,
         };
-        let (Ok((stream, _)), Ok(place)) = (accepted, places.clone().try_acquire_owned()) else {
+        let (Ok((stream, _)), Ok(permit)) = (accepted, permits.clone().try_acquire_owned()) else {
             continue;
         };
         let parts = parts.clone();
@@ -76,7 +76,7 @@
             let mut builder = hyper::server::conn::http1::Builder::new();
             builder.timer(TokioTimer::new());
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
--- a/valetrack/src/cli.rs
+++ b/valetrack/src/cli.rs
@@ -23,20 +23,20 @@
 mod fetch;
 mod help;
 
-/// Exit code of a command that found something wrong with what it was given.
+/// Exit code of a command that failed or whose input is invalid.
 const EXIT_FAULT: u8 = 1;
-/// Exit code of a command line that cannot be understood.
+/// Exit code of an invalid command line.
 const EXIT_USAGE: u8 = 2;
-/// Exit code of a command that could not reach the store.
+/// Exit code of a command that couldn't reach the store.
 const EXIT_STORE: u8 = 3;
-/// Time limit of an operator's call to the store, in milliseconds.
-const STORE_MS: u64 = 3_000;
-/// Time within which a roll is to be in force at the nodes that are asked, in milliseconds.
-const IN_FORCE_MS: u64 = 7_000;
-/// Pause between two questions to them, in milliseconds.
+/// Timeout of a request to the store.
+const STORE_TIMEOUT_MS: u64 = 3_000;
+/// Time within which a published bundle must be in force at the queried nodes.
+const IN_FORCE_TIMEOUT_MS: u64 = 7_000;
+/// Interval of queries while waiting for a published bundle to be in force.
 const IN_FORCE_POLL_MS: u64 = 100;
 
-/// What a command line asks for beside its command's own words.
+/// Parsed command line.
 #[derive(Debug, Default)]
 struct Options {
     words: Vec<String>,
@@ -53,7 +53,7 @@
     faults: Vec<SettingFault>,
 }
 
-/// A command that did not succeed.
+/// Exit code and message of a failed command.
 struct Failure {
     exit: u8,
     text: String,
@@ -65,8 +65,8 @@
     Failure { exit, text: text.to_string() }
 }
 
-/// Runs the command that the process was started with; `platforms` are those that a node may run
-/// on beside the native one.
+/// Runs the command of the process's command line. `platforms` are the platforms that a node supports in addition to
+/// the native one.
 pub fn main(platforms: &[&dyn PlatformFactory]) -> ExitCode {
     let args: Vec<OsString> = std::env::args_os().skip(1).collect();
     match run(args, platforms) {
@@ -91,7 +91,7 @@
     }
     match words.as_slice() {
         ["node"] => node(&mut options, platforms),
-        ["settings", "check"] => settings(&mut options, platforms).map(|_| println!("settings are right")),
+        ["settings", "check"] => settings(&mut options, platforms).map(|_| println!("settings are valid")),
         ["bundle", "check", file] => bundle_check(Path::new(file), options.json),
         ["bundle", "write", file] => bundle_write(&options, Path::new(file)),
         ["bundle", "approve", version] => bundle_approve(&options, version),
@@ -144,11 +144,11 @@
                 options.raw.set(&flag, value);
             }
             Long(flag) => {
-                // All unknown flags are told at once; a value behind one would only confuse.
+                // All unknown flags are reported at once. An attached value is discarded.
                 options.faults.push(SettingFault {
                     code: Code::SettingUnknown,
                     flag: flag.to_owned(),
-                    right: "a flag of --help".into(),
+                    expected: "a flag of --help".into(),
                 });
                 let _ = parser.optional_value();
             }
@@ -164,7 +164,7 @@
     let mut faults = std::mem::take(&mut options.faults);
     let checked = raw.check();
     for name in unknown_variables(platforms) {
-        eprintln!("{}: {name} is no setting and is left out", Code::SettingUnknown);
+        eprintln!("{}: {name} is no setting and is ignored", Code::SettingUnknown);
     }
     match checked {
         Ok(settings) => match open_platform(&settings, platforms) {
@@ -186,7 +186,7 @@
     }
 }
 
-/// Returns environment variables that look like settings and are none.
+/// Returns the environment variables that have the prefix of settings but aren't settings.
 fn unknown_variables(platforms: &[&dyn PlatformFactory]) -> Vec<String> {
     let of_platform = |name: &str| platforms.iter().any(|platform| platform.own_variables().contains(&name));
     let known = |name: &str| {
@@ -200,7 +200,7 @@
     let mut text = String::new();
     for fault in faults {
         if as_json {
-            let row = json!({ "code": fault.code.number(), "setting": fault.flag, "right": fault.right });
+            let row = json!({ "code": fault.code.number(), "setting": fault.flag, "right": fault.expected });
             let _ = writeln!(text, "{row}");
         } else {
             let _ = writeln!(text, "{fault}");
@@ -260,7 +260,7 @@
         let fault = SettingFault {
             code: Code::SettingMissing,
             flag: "operator".into(),
-            right: "your name, by --operator or VALETRACK_OPERATOR".into(),
+            expected: "the name of the operator, by --operator or VALETRACK_OPERATOR".into(),
         };
         setting_failure(&[fault], options.json)
     };
@@ -270,12 +270,12 @@
 fn store(options: &Options) -> Result<HttpStore, Failure> {
     let addr = options.store.clone().or_else(|| std::env::var("VALETRACK_STORE").ok());
     let fault = |code| {
-        let fault = SettingFault { code, flag: "store".into(), right: "IP:PORT of the store".into() };
+        let fault = SettingFault { code, flag: "store".into(), expected: "IP:PORT of the store".into() };
         setting_failure(&[fault], options.json)
     };
     let addr = addr.ok_or_else(|| fault(Code::SettingMissing))?;
     let addr: SocketAddr = addr.parse().map_err(|_| fault(Code::SettingInvalid))?;
-    Ok(HttpStore::new(addr, Duration::from_millis(STORE_MS)))
+    Ok(HttpStore::new(addr, Duration::from_millis(STORE_TIMEOUT_MS)))
 }
 
 fn block_on<F: Future>(future: F) -> Result<F::Output, Failure> {
@@ -300,7 +300,7 @@
     let text = read_file(file)?;
     let written = block_on(operator::write(&store, &operator, &text))?;
     let version = written.map_err(|error| operator_failure(error, Some(file), options.json))?;
-    say(options, &json!({ "version": version }), &version);
+    print_result(options, &json!({ "version": version }), &version);
     Ok(())
 }
 
@@ -309,7 +309,11 @@
     let store = store(options)?;
     let approved = block_on(operator::approve(&store, &operator, version))?;
     approved.map_err(|error| operator_failure(error, None, options.json))?;
-    say(options, &json!({ "version": version, "approver": operator }), &format!("{version} approved by {operator}"));
+    print_result(
+        options,
+        &json!({ "version": version, "approver": operator }),
+        &format!("{version} approved by {operator}"),
+    );
     Ok(())
 }
 
@@ -317,55 +321,58 @@
     let operator = operator_name(options)?;
     let store = store(options)?;
     let served = served_number(options)?;
-    let rolled = block_on(operator::roll_over(&store, &operator, version, served))?;
-    let Rolled { number, held, is_restored } = rolled.map_err(|error| operator_failure(error, None, options.json))?;
+    let published = block_on(operator::roll_over(&store, &operator, version, served))?;
+    let Rolled { number, held, is_restored } =
+        published.map_err(|error| operator_failure(error, None, options.json))?;
     let data = json!({
         "version": version, "number": number, "store_held": held, "nodes_served": served, "store_restored": is_restored,
     });
-    let mut text = format!("{version} rolled as number {number}");
+    let mut text = format!("{version} published as number {number}");
     if is_restored {
         let _ = write!(
             text,
-            "\nthe store was restored from a copy since number {held}: numbers go on beyond what it may lack"
+            "\nthe store was restored from a copy since number {held}: the new number skips those that it may lack"
         );
     }
     if served > held {
-        let _ = write!(text, "\nthe store held number {held}, nodes serve {served}: it has come back from a copy");
+        let _ =
+            write!(text, "\nthe store held number {held}, nodes serve {served}: it was restored from an older copy");
     }
-    if served_until(options, number)? < number {
-        let text = format!("{}: number {number} is not in force at all nodes asked", Code::BundleNotInForce);
+    if wait_until_served(options, number)? < number {
+        let text = format!("{}: number {number} is not in force at all queried nodes", Code::BundleNotInForce);
         return Err(failure(EXIT_FAULT, text));
     }
-    say(options, &data, &text);
+    print_result(options, &data, &text);
     Ok(())
 }
 
-/// Returns the highest number that the nodes named by `--admin` serve; zero where none is named.
+/// Returns the highest bundle number in force at the nodes named by `--admin`; zero if no nodes are named.
 fn served_number(options: &Options) -> Result<u64, Failure> {
     let mut highest = 0;
     for admin in &options.admin {
-        highest = highest.max(number_at(admin)?);
+        highest = highest.max(fetch_bundle_number(admin)?);
     }
     Ok(highest)
 }
 
-/// Waits until the nodes named by `--admin` serve a number; returns the lowest that they serve then.
-fn served_until(options: &Options, number: u64) -> Result<u64, Failure> {
-    let began = Instant::now();
+/// Waits until a bundle number is in force at the nodes named by `--admin`, for at most [`IN_FORCE_TIMEOUT_MS`].
+/// Returns the lowest number in force at them.
+fn wait_until_served(options: &Options, number: u64) -> Result<u64, Failure> {
+    let started = Instant::now();
     loop {
         let mut lowest = u64::MAX;
         for admin in &options.admin {
-            lowest = lowest.min(number_at(admin)?);
+            lowest = lowest.min(fetch_bundle_number(admin)?);
         }
-        if lowest >= number || began.elapsed() >= Duration::from_millis(IN_FORCE_MS) {
+        if lowest >= number || started.elapsed() >= Duration::from_millis(IN_FORCE_TIMEOUT_MS) {
             return Ok(lowest);
         }
         std::thread::sleep(Duration::from_millis(IN_FORCE_POLL_MS));
     }
 }
 
-/// Asks a node for the number of the bundle that it serves.
-fn number_at(admin: &str) -> Result<u64, Failure> {
+/// Queries a node for the number of its bundle in force.
+fn fetch_bundle_number(admin: &str) -> Result<u64, Failure> {
     let addr = admin_addr(admin)?;
     let unreadable =
         |error: &dyn std::fmt::Display| failure(EXIT_FAULT, format!("{}: {addr}: {error}", Code::FileUnreadable));
@@ -383,7 +390,7 @@
     let current = block_on(operator::current(&store))?;
     let current = current.map_err(|error| operator_failure(error, None, options.json))?;
     let Some(current) = current else {
-        say(options, &json!(null), "no bundle was rolled yet");
+        print_result(options, &json!(null), "no bundle has been published yet");
         return Ok(());
     };
     let mut text = format!("number {} version {} by {}", current.number, current.version, current.operator);
@@ -396,20 +403,24 @@
     if !history && let Some(fields) = data.as_object_mut() {
         fields.remove("before");
     }
-    say(options, &data, &text);
+    print_result(options, &data, &text);
     Ok(())
 }
 
 fn domain_set(options: &Options, domain: &str, evacuated: bool) -> Outcome {
     if !is_name(domain) {
-        let text = format!("{}: {domain}: wanted: a name of a-z, 0-9 and -", Code::SettingInvalid);
+        let text = format!("{}: {domain}: expected: a name of a-z, 0-9 and -", Code::SettingInvalid);
         return Err(failure(EXIT_FAULT, text));
     }
     let store = store(options)?;
     let number = block_on(operator::set_evacuated(&store, domain, evacuated))?;
     let number = number.map_err(|error| operator_failure(error, None, options.json))?;
     let state = if evacuated { "evacuated" } else { "in service" };
-    say(options, &json!({ "domain": domain, "evacuated": evacuated, "number": number }), &format!("{domain} {state}"));
+    print_result(
+        options,
+        &json!({ "domain": domain, "evacuated": evacuated, "number": number }),
+        &format!("{domain} {state}"),
+    );
     Ok(())
 }
 
@@ -422,11 +433,11 @@
         true => "no domain is evacuated".to_owned(),
         false => format!("evacuated: {}", evacuation.domain_list()),
     };
-    say(options, &json!(evacuation), &text);
+    print_result(options, &json!(evacuation), &text);
     Ok(())
 }
 
-fn say(options: &Options, data: &serde_json::Value, text: &str) {
+fn print_result(options: &Options, data: &serde_json::Value, text: &str) {
     if options.json { println!("{data}") } else { println!("{text}") }
 }
 
@@ -442,11 +453,11 @@
         lines.extend(text.lines().map(str::to_owned));
     }
     let mut events: Vec<Event> = Vec::new();
-    let mut unread = 0;
+    let mut invalid = 0;
     for line in lines.iter().filter(|line| !line.trim().is_empty()) {
         match timeline::parse(line) {
             Ok(event) => events.push(event),
-            Err(_) => unread += 1,
+            Err(_) => invalid += 1,
         }
     }
     for event in timeline::merge(events, options.call.as_deref()) {
@@ -455,15 +466,15 @@
             false => println!("{event}"),
         }
     }
-    if unread > 0 {
-        eprintln!("{}: {unread} lines are no events and were left out", Code::EventInvalid);
+    if invalid > 0 {
+        eprintln!("{}: {invalid} lines are not events and were ignored", Code::EventInvalid);
     }
     Ok(())
 }
 
 fn dir(options: &Options) -> Result<PathBuf, Failure> {
     let fault = || {
-        let fault = SettingFault { code: Code::SettingMissing, flag: "dir".into(), right: "a folder".into() };
+        let fault = SettingFault { code: Code::SettingMissing, flag: "dir".into(), expected: "a folder".into() };
         setting_failure(&[fault], options.json)
     };
     options.dir.clone().ok_or_else(fault)
@@ -475,7 +486,7 @@
 
 fn keys_node(options: &Options) -> Outcome {
     let fault = || {
-        let fault = SettingFault { code: Code::SettingMissing, flag: "vm".into(), right: "a VM's name".into() };
+        let fault = SettingFault { code: Code::SettingMissing, flag: "vm".into(), expected: "a VM's name".into() };
         setting_failure(&[fault], options.json)
     };
     let vm = options.vm.as_deref().ok_or_else(fault)?;
@@ -487,10 +498,10 @@
     let mut soon = false;
     for expiry in &expiries {
         soon |= expiry.days_left < EXPIRY_WARNING_DAYS;
-        say(options, &json!(expiry), &format!("{}: {} days left", expiry.file, expiry.days_left));
+        print_result(options, &json!(expiry), &format!("{}: {} days left", expiry.file, expiry.days_left));
     }
     if soon {
-        let text = format!("{}: less than {EXPIRY_WARNING_DAYS} days left", Code::KeyExpired);
+        let text = format!("{}: a certificate expires in less than {EXPIRY_WARNING_DAYS} days", Code::KeyExpired);
         return Err(failure(EXIT_FAULT, text));
     }
     Ok(())
--- a/valetrack/src/cli/fetch.rs
+++ b/valetrack/src/cli/fetch.rs
@@ -1,4 +1,4 @@
-//! One GET for the command line.
+//! HTTP GET for the command line.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Largest answer that is read, in bytes.
+/// Limit of the response body.
 const ANSWER_MAX_BYTES: usize = 64 * 1024 * 1024;
-/// Time limit, in milliseconds.
-const LIMIT_MS: u64 = 5_000;
+/// Time limit of a request.
+const TIMEOUT_MS: u64 = 5_000;
 
-/// Gets a page as text.
+/// Returns the body of a page as text.
 ///
 /// # Errors
 ///
-/// Returns what went wrong, in words.
+/// Returns the error message.
 pub async fn get(addr: SocketAddr, path: &str) -> Result<String, String> {
-    let limit = Duration::from_millis(LIMIT_MS);
+    let limit = Duration::from_millis(TIMEOUT_MS);
     timeout(limit, get_unbounded(addr, path)).await.unwrap_or_else(|_| Err("time limit".into()))
 }
 
@@ -30,7 +30,7 @@
     let stream = TcpStream::connect(addr).await.map_err(|error| text(&error))?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|error| text(&error))?;
-    // The task ends by itself with its sender.
+    // The task ends when its sender is dropped.
     tokio::spawn(connection);
     let request = Request::get(path).header("host", addr.to_string()).body(Empty::<Bytes>::new());
     let request = request.map_err(|error| text(&error))?;
--- a/valetrack/src/cli/help.rs
+++ b/valetrack/src/cli/help.rs
@@ -1,4 +1,4 @@
-//! Help, man page and completions, all made from one table.
+//! Help, man page and completions, all generated from one table of commands.
 
 use std::fmt::Write as _;
 
@@ -13,19 +13,19 @@
 
 const COMMANDS: &[Command] = &[
     command("node", "--FLAG VALUE...", "Runs the node beside a server.", NODE_EXAMPLE),
-    command("settings check", "--FLAG VALUE...", "Checks a node's settings, all at once.", SETTINGS_EXAMPLE),
-    command("bundle check", "FILE", "Checks a bundle and tells all its faults.", "valetrack bundle check shop.toml"),
-    command("bundle write", "FILE", "Writes a bundle without faults to the store.", WRITE_EXAMPLE),
-    command("bundle approve", "VERSION", "Approves a bundle that somebody else wrote.", APPROVE_EXAMPLE),
-    command("bundle roll", "VERSION", "Puts an approved bundle in force.", ROLL_EXAMPLE),
+    command("settings check", "--FLAG VALUE...", "Checks a node's settings and prints all faults.", SETTINGS_EXAMPLE),
+    command("bundle check", "FILE", "Checks a bundle and prints all faults.", "valetrack bundle check shop.toml"),
+    command("bundle write", "FILE", "Checks a bundle and writes it to the store.", WRITE_EXAMPLE),
+    command("bundle approve", "VERSION", "Approves a bundle that another operator wrote.", APPROVE_EXAMPLE),
+    command("bundle roll", "VERSION", "Publishes an approved bundle to all nodes.", ROLL_EXAMPLE),
     command("bundle status", "", "Shows the bundle in force.", "valetrack bundle status --store 10.0.0.9:2379"),
-    command("bundle history", "", "Shows what was rolled before as well.", HISTORY_EXAMPLE),
-    command("domain evacuate", "NAME", "Has a failure domain's servers get nothing new.", EVACUATE_EXAMPLE),
-    command("domain return", "NAME", "Takes a failure domain back into service.", RETURN_EXAMPLE),
+    command("bundle history", "", "Shows the bundle in force and earlier ones.", HISTORY_EXAMPLE),
+    command("domain evacuate", "NAME", "Sends no new calls to a failure domain.", EVACUATE_EXAMPLE),
+    command("domain return", "NAME", "Puts a failure domain back into service.", RETURN_EXAMPLE),
     command("domain status", "", "Shows which failure domains are evacuated.", STATUS_EXAMPLE),
     command("timeline", "[FILE...]", "Merges events of many nodes in causal order.", TIMELINE_EXAMPLE),
-    command("keys authority", "", "Makes the fleet's authority.", "valetrack keys authority --dir keys"),
-    command("keys node", "", "Makes a node's certificate.", "valetrack keys node --dir keys --vm kranj-1"),
+    command("keys authority", "", "Creates the fleet's certificate authority.", "valetrack keys authority --dir keys"),
+    command("keys node", "", "Creates a node's certificate.", "valetrack keys node --dir keys --vm kranj-1"),
     command("keys check", "", "Shows when certificates expire.", "valetrack keys check --dir keys"),
     command("completions", "", "Prints completions for bash.", "valetrack completions > valetrack.bash"),
     command("man", "", "Prints the man page.", "valetrack man > valetrack.1"),
@@ -43,12 +43,12 @@
 const STATUS_EXAMPLE: &str = "valetrack domain status --json --store 10.0.0.9:2379";
 const TIMELINE_EXAMPLE: &str = "valetrack timeline --admin 10.0.0.1:7002 --admin 10.0.0.2:7002 --call c-17";
 
-/// Flags beside those of a node.
+/// Flags other than the settings of a node.
 const FLAGS: &[(&str, &str)] = &[
-    ("--operator NAME", "Who gives the command; VALETRACK_OPERATOR."),
-    ("--dir FOLDER", "Folder of keys."),
+    ("--operator NAME", "Name of the operator; or VALETRACK_OPERATOR."),
+    ("--dir FOLDER", "Folder of the keys."),
     ("--call ID", "Shows only the events of one call."),
-    ("--admin IP:PORT", "A node to ask for its events, or for what it serves; may stand more than once."),
+    ("--admin IP:PORT", "Admin address of a node to query; may be given more than once."),
     ("--json", "Prints data as JSON."),
     ("--help", "Shows help."),
     ("--version", "Shows the release."),
@@ -58,7 +58,7 @@
     Command { words, args, help, example }
 }
 
-/// Returns the help of the commands that start with these words, or of all.
+/// Returns the help of the commands that start with these words, or of all commands if there are none.
 pub fn of(words: &[&str]) -> String {
     let wanted = words.join(" ");
     let chosen: Vec<&Command> = COMMANDS.iter().filter(|command| command.words.starts_with(&wanted)).collect();
@@ -73,12 +73,14 @@
     for (flag, help) in FLAGS {
         let _ = writeln!(text, "  {flag:<28} {help}");
     }
-    let for_node = |command: &&&Command| matches!(command.words, "node" | "settings check");
-    if chosen.iter().any(|command| for_node(&command)) {
+    let is_for_node = |command: &&&Command| matches!(command.words, "node" | "settings check");
+    if chosen.iter().any(|command| is_for_node(&command)) {
         text.push_str("\nSettings of a node, each as a flag and as an environment variable:\n");
         text.push_str(&settings());
     }
-    text.push_str("\nExit codes: 0 done, 1 a fault in what was given, 2 not understood, 3 store not reached.\n");
+    text.push_str(
+        "\nExit codes: 0 success, 1 failure or invalid input, 2 invalid command line, 3 store not reached.\n",
+    );
     text
 }
 
@@ -87,7 +89,7 @@
     for setting in NODE {
         let default = setting.default.map_or("required".to_owned(), |default| format!("default {default}"));
         let _ = writeln!(text, "  --{} ({}; {default})", setting.flag, setting.env());
-        let _ = writeln!(text, "      {} Allowed: {}.", setting.help, setting.right);
+        let _ = writeln!(text, "      {} Allowed: {}.", setting.help, setting.expected);
     }
     text
 }
--- a/valetrack/src/jobs.rs
+++ b/valetrack/src/jobs.rs
@@ -1,4 +1,4 @@
-//! What the threads that serve a ring of jobs share.
+//! Job loop and background tasks of the threads that serve a ring of jobs.
 
 use std::future::Future;
 
@@ -8,15 +8,15 @@
 
 use crate::code::Code;
 
-/// Told when a duty of some thread has panicked.
-static DUTY_FAILED: Notify = Notify::const_new();
+/// Notified when a background task of any thread has panicked.
+static TASK_FAILED: Notify = Notify::const_new();
 
-/// Waits until a duty of some thread has panicked.
-pub(crate) async fn duty_failed() {
-    DUTY_FAILED.notified().await;
+/// Waits until a background task of any thread has panicked.
+pub(crate) async fn background_task_failed() {
+    TASK_FAILED.notified().await;
 }
 
-/// Waits for the next job; none when the ring has no sender any more, or the thread is to close.
+/// Waits for the next job; returns `None` if the ring has no senders any more or the thread must end.
 pub(crate) async fn next_job<T>(jobs: &Receiver<T>, closing: &mut watch::Receiver<bool>) -> Option<T> {
     tokio::select! {
         job = jobs.recv() => job.ok(),
@@ -24,22 +24,23 @@
     }
 }
 
-/// The tasks that a thread runs for as long as it serves its ring.
+/// Background tasks that a thread runs while it serves its ring.
 ///
-/// The runtime keeps a panic of one of them to itself, and the thread would serve on without it: a node whose
-/// entry nobody keeps looks well to everybody but its callers. So the node leaves, and is started anew.
+/// The runtime catches a panic of a task, and the thread would continue without the task. A node that no longer renews
+/// its entry in the store, for example, would look healthy and fail only for its callers. Therefore the node leaves
+/// after a panic, and its platform restarts it.
 #[derive(Default)]
 pub(crate) struct Duties {
     tasks: JoinSet<()>,
 }
 
 impl Duties {
-    /// Starts a duty on the thread's own task set.
-    pub(crate) fn spawn(&mut self, duty: impl Future<Output = ()> + 'static) {
-        self.tasks.spawn_local(duty);
+    /// Starts a background task on the local task set of the thread.
+    pub(crate) fn spawn(&mut self, task: impl Future<Output = ()> + 'static) {
+        self.tasks.spawn_local(task);
     }
 
-    /// Waits for the next job as [`next_job`] does, and meanwhile looks after the duties.
+    /// Waits for the next job like [`next_job`], and reports panics of background tasks meanwhile.
     pub(crate) async fn next_job<T>(&mut self, jobs: &Receiver<T>, closing: &mut watch::Receiver<bool>) -> Option<T> {
         loop {
             tokio::select! {
@@ -47,14 +48,14 @@
                 Some(ended) = self.tasks.join_next() => {
                     if let Err(error) = ended && error.is_panic() {
                         log::error!("event=node.duty_failed code={} reason=\"{error}\"", Code::DutyFailed);
-                        DUTY_FAILED.notify_one();
+                        TASK_FAILED.notify_one();
                     }
                 }
             }
         }
     }
 
-    /// Ends all duties.
+    /// Ends all background tasks.
     pub(crate) async fn shutdown(mut self) {
         self.tasks.shutdown().await;
     }
--- a/valetrack/src/lib.rs
+++ b/valetrack/src/lib.rs
@@ -1,16 +1,15 @@
-//! Decisions and shells of valetrack, a load balancer for servers whose load shifts in
-//! milliseconds.
+//! State machines and I/O shells of valetrack, a load balancer for servers whose load shifts in milliseconds.
 //!
-//! The pure decisions can be used without the process around them, on any test bench with a
-//! clock and a network of its own. Each takes its state, an event and `now` and appends actions:
+//! The state machines do no I/O and can be used without the rest of the process, for example in a simulation with its
+//! own clock and network. Each processes an event at the time `now` and appends actions:
 //!
-//! - [`placement::Call`] with [`placement::ServiceView`]: the life of a call at its entry;
-//! - [`gate::Gate`]: slots and the queue before one server;
-//! - [`claim::PageHome`]: at most once for calls with a key;
-//! - [`crash::CrashBook`], [`crash::CrashDetector`]: calls that crash upstreams;
-//! - [`member::Members`], [`bundle::Adoption`]: views that only go forward;
+//! - [`placement::Call`] with [`placement::ServiceView`]: the lifecycle of a call at its entry;
+//! - [`gate::Gate`]: the slots and the queue of one server;
+//! - [`claim::PageHome`]: at-most-once execution of keyed calls;
+//! - [`crash::CrashBook`], [`crash::CrashDetector`]: detection of calls that crash upstreams;
+//! - [`member::Members`], [`bundle::Adoption`]: views that never go back to an older state;
 //! - [`placement::RateBudget`], [`placement::RepeatBudget`]: budgets;
-//! - [`timeline::HybridClock`]: the order of events.
+//! - [`timeline::HybridClock`]: the causal order of events.
 
 pub mod admin;
 pub mod bundle;
--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -136,7 +136,7 @@
     tasks.spawn_local(shell.gate.clone().follow_upstream());
     let members = shell.gate.clone().follow_members(shell.parts.domain.clone(), shell.parts.members.clone());
     tasks.spawn_local(members);
-    tasks.spawn_local(shell.clone().find_upstream());
+    tasks.spawn_local(shell.clone().check_upstream());
     tasks.spawn_local(shell.clone().follow_bundle());
     tasks.spawn_local(shell.clone().follow_leaving());
     tasks.spawn_local(shell.clone().accept(endpoint.clone()));
@@ -152,7 +152,7 @@
 impl Shell {
     async fn ask(self: Rc<Self>, job: LinkJob) {
         let LinkJob { target, request, limit, mut reply } = job;
-        let asked = async {
+        let exchanged = async {
             if target.vm == self.parts.vm {
                 // A request to this node itself needs no link.
                 let served = timeout(limit, self.serve(request)).await;
@@ -161,7 +161,7 @@
             self.peers.ask(&target, request, limit).await
         };
         let result = tokio::select! {
-            result = asked => result,
+            result = exchanged => result,
             // Dropping the request resets its stream, which makes the owner stop.
             () = reply.closed() => return,
         };
@@ -172,7 +172,7 @@
 
     /// Checks the health of the upstream until its state is known. A restarted node thus doesn't wait for the next
     /// announcement.
-    async fn find_upstream(self: Rc<Self>) {
+    async fn check_upstream(self: Rc<Self>) {
         let Some(to_upstream) = self.parts.to_upstream.clone() else {
             return;
         };
@@ -294,7 +294,7 @@
             }
             Ask::Bundle => self.bundle(),
             Ask::Evacuation => (Reply::Evacuation(self.evacuation()), Bytes::new()),
-            Ask::Follow { after, wait_ms, me } => self.store_news(after, wait_ms, me).await,
+            Ask::Follow { after, wait_ms, me } => self.store_update(after, wait_ms, me).await,
             Ask::Runs => (Reply::Runs(self.gate.runs()), Bytes::new()),
             Ask::Quota { account, calls, instead_of } => {
                 let grant = self.quotas.grant(&account, calls, instead_of.as_ref()).await;
@@ -310,7 +310,7 @@
                 (Reply::Load, Bytes::new())
             }
         };
-        Answered { head: ReplyHead { reply, riding: self.riding() }, body }
+        Answered { head: ReplyHead { reply, riding: self.piggyback() }, body }
     }
 
     async fn run_call(&self, head: CallHead, body: Bytes) -> (Reply, Bytes) {
@@ -361,7 +361,7 @@
         known.await.unwrap_or_default()
     }
 
-    async fn store_news(&self, after: Position, wait_ms: u32, me: Member) -> (Reply, Bytes) {
+    async fn store_update(&self, after: Position, wait_ms: u32, me: Member) -> (Reply, Bytes) {
         let (reply, news) = oneshot::channel();
         let job = MemberJob::Follow { after, wait_ms, me: Box::new(me), reply };
         if self.parts.to_member.send(job).await.is_err() {
@@ -387,7 +387,7 @@
         }
     }
 
-    fn riding(&self) -> Riding {
+    fn piggyback(&self) -> Riding {
         let bundle = self.parts.bundle.borrow().as_ref().map_or(0, |bundle| bundle.number);
         Riding { load: self.gate.load(), bundle, hlc: events::stamp() }
     }
--- a/valetrack/src/node.rs
+++ b/valetrack/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: makes the rings, starts a thread for each duty, and joins them all at the end.
+//! A node: creates the rings, starts the threads, and joins them when the node stops.
 
 mod leave;
 mod listen;
@@ -9,8 +9,8 @@
 
 use snafu::Snafu;
 
-use self::leave::serve_until_told;
-use self::listen::{listen, try_links};
+use self::leave::serve_until_leaving;
+use self::listen::{check_link_addr, listen};
 use self::part::NodeParts;
 use self::thread::{join, runtime};
 use crate::code::Code;
@@ -18,27 +18,27 @@
 use crate::platform::{Membership, Platform};
 use crate::settings::NodeSettings;
 
-/// Why a node could not start.
+/// Error of starting a node.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// Keys could not be used.
+    /// The keys of the node could not be read or used.
     #[snafu(display("{source}"), context(false))]
     Keys {
-        /// Why.
+        /// Cause.
         source: KeyError,
     },
-    /// An address could not be listened on.
+    /// A listener could not be bound to its address.
     #[snafu(display("{addr}: {source}"))]
     Listen {
-        /// Which.
+        /// The address.
         addr: std::net::SocketAddr,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
     /// A thread could not be started.
     #[snafu(display("{source}"), context(false))]
     Thread {
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
 }
@@ -53,21 +53,21 @@
     }
 }
 
-/// Runs a node until it is told to stop, and takes it out of service in order.
+/// Runs a node until it is told to leave, and then shuts it down in order.
 ///
 /// # Errors
 ///
-/// Returns why the node could not start.
+/// Returns an error if the node could not start.
 pub fn run(settings: NodeSettings, platform: Platform) -> Result<(), NodeError> {
     let tls = match platform.membership {
         Membership::Listed { .. } => tls::load(&settings.keys_dir, &settings.vm)?,
-        // No key can be handed to such a node before it starts, so it makes its own.
+        // Such a node has no keys folder, so it generates its own key.
         Membership::Leased { .. } => tls::generate(&settings.vm)?,
     };
-    // Sockets are bound before any thread starts, so that a busy address is told at once.
+    // Sockets are bound before any thread starts, so a busy address is reported at once.
     let callers = listen(settings.caller_addr)?;
     let operators = listen(settings.admin_addr)?;
-    try_links(settings.link_addr)?;
+    check_link_addr(settings.link_addr)?;
     let control = settings.control_addr.map(listen).transpose()?;
     let (announcements, parts) = NodeParts::new(settings, platform);
     let mut threads = parts.start_membership()?;
@@ -78,7 +78,7 @@
         threads.push(parts.start_announcements(announcements, listener)?);
     }
     log::info!("event=node.start incarnation={} release={}", parts.incarnation, env!("CARGO_PKG_VERSION"));
-    runtime()?.block_on(serve_until_told(&parts));
+    runtime()?.block_on(serve_until_leaving(&parts));
     join(threads);
     log::info!("event=node.stop");
     Ok(())
--- a/valetrack/src/node/leave.rs
+++ b/valetrack/src/node/leave.rs
@@ -1,4 +1,4 @@
-//! When a node leaves, and the order in which it goes out of service.
+//! Events that make a node leave, and the steps of its shutdown.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -9,38 +9,38 @@
 use super::part::NodeParts;
 use super::stage::Stages;
 use crate::clock::put_ahead;
-use crate::jobs::duty_failed;
+use crate::jobs::background_task_failed;
 use crate::settings::NodeSettings;
 
-/// Time that telling other nodes of the exit may take, in milliseconds.
+/// Time limit of reporting the exit to other nodes.
 const DEPARTURE_MS: u64 = 500;
-/// What is left of the time before a kill for telling other nodes and the exit, in milliseconds.
+/// Part of the grace period before a kill that is reserved for reporting the exit to other nodes and for exiting.
 const STOP_MARGIN_MS: u64 = 800;
-/// Time for answers that were just written to leave this process, in milliseconds.
+/// Time for recently written answers to be sent before the process exits.
 const FLUSH_MS: u64 = 20;
 
-/// Waits until the node is told to leave, then takes it out of service step by step.
-pub(super) async fn serve_until_told(parts: &NodeParts) {
+/// Serves until an event makes the node leave, and then runs the steps of the shutdown.
+pub(super) async fn serve_until_leaving(parts: &NodeParts) {
     let by = tokio::select! {
-        by = told_to_leave(parts) => by,
-        never = begin(parts) => match never {},
+        by = leave_requested(parts) => by,
+        never = start_serving(parts) => match never {},
     };
     log::info!("event=node.leaving by={by}");
     leave(&parts.stages, &parts.settings).await;
 }
 
-/// Waits until the node is told to leave; returns by whom.
-async fn told_to_leave(parts: &NodeParts) -> &'static str {
+/// Waits for an event that makes the node leave, and returns its source.
+async fn leave_requested(parts: &NodeParts) -> &'static str {
     tokio::select! {
         () = stop_signal() => "signal",
         never = suspend_for_tests(parts.settings.test_suspension_ms) => match never {},
         () = parts.server_leaving.notified() => "server",
         () = parts.listed_leaving.notified() => "list",
-        () = duty_failed() => "failed-duty",
+        () = background_task_failed() => "failed-duty",
     }
 }
 
-/// Has the node believe at each SIGUSR2 that its VM was suspended; never ends.
+/// Simulates a suspension of the VM at each SIGUSR2; never returns.
 async fn suspend_for_tests(suspension_ms: u64) -> Infallible {
     if suspension_ms > 0
         && let Ok(mut suspend) = signal(SignalKind::user_defined2())
@@ -52,8 +52,8 @@
     std::future::pending().await
 }
 
-/// Lets the node take work once a bundle is in force; never ends.
-async fn begin(parts: &NodeParts) -> Infallible {
+/// Puts the node into service once a bundle is in force; never returns.
+async fn start_serving(parts: &NodeParts) -> Infallible {
     let mut bundle = parts.bundle.subscribe();
     if bundle.wait_for(Option::is_some).await.is_ok() {
         parts.stages.serving.send_replace(true);
@@ -80,7 +80,7 @@
     sleep(Duration::from_millis(FLUSH_MS)).await;
 }
 
-/// Returns the time from the start of leaving until what still runs is cut off.
+/// Returns the time from the start of the leave until calls that still run are cut off.
 pub(super) fn drain_time(settings: &NodeSettings) -> Duration {
     let drain_ms = match settings.stop_grace_ms {
         0 => settings.drain_ms,
@@ -89,7 +89,7 @@
     Duration::from_millis(drain_ms)
 }
 
-/// Waits for a signal to stop.
+/// Waits for a signal that stops the process.
 async fn stop_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
@@ -102,7 +102,7 @@
         tokio::select! {
             _ = terminate.recv() => return,
             _ = interrupt.recv() => return,
-            // Settings stand in flags and environment, which a running process keeps.
+            // Settings come from flags and the environment, which a running process can't reload.
             _ = hang_up.recv() => log::info!("event=node.reload settings=unchanged"),
         }
     }
--- a/valetrack/src/node/listen.rs
+++ b/valetrack/src/node/listen.rs
@@ -1,15 +1,15 @@
-//! Addresses of a node, bound before its threads start.
+//! Binds the addresses of a node before its threads start.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
 use super::NodeError;
 
-/// Finds out whether the address of links is free; the endpoint itself is bound in its thread.
-pub(super) fn try_links(addr: SocketAddr) -> Result<(), NodeError> {
+/// Returns an error if the address of links cannot be bound; the link thread binds the endpoint itself.
+pub(super) fn check_link_addr(addr: SocketAddr) -> Result<(), NodeError> {
     UdpSocket::bind(addr).map(drop).map_err(|source| NodeError::Listen { addr, source })
 }
 
-/// Binds an address that is listened on.
+/// Binds a TCP listener.
 pub(super) fn listen(addr: SocketAddr) -> Result<TcpListener, NodeError> {
     let listener = TcpListener::bind(addr).map_err(|source| NodeError::Listen { addr, source })?;
     listener.set_nonblocking(true).map_err(|source| NodeError::Listen { addr, source })?;
--- a/valetrack/src/node/part.rs
+++ b/valetrack/src/node/part.rs
@@ -1,4 +1,4 @@
-//! What a node's threads share: settings, rings, published views.
+//! State shared by the threads of a node: settings, rings and published views.
 
 use std::sync::Arc;
 
@@ -19,25 +19,25 @@
 use crate::platform::{Announcements, Membership, Platform};
 use crate::settings::NodeSettings;
 
-/// Places in each ring between two threads.
-const RING: usize = 1_024;
+/// Capacity of each ring between two threads.
+const RING_CAPACITY: usize = 1_024;
 
 /// Both ends of a ring between two threads.
 pub(super) struct Ring<T> {
-    /// Where jobs go in.
+    /// Sending end.
     pub(super) to: Sender<T>,
-    /// Where they come out.
+    /// Receiving end.
     pub(super) from: Receiver<T>,
 }
 
 impl<T> Ring<T> {
     fn new() -> Self {
-        let (to, from) = async_channel::bounded(RING);
+        let (to, from) = async_channel::bounded(RING_CAPACITY);
         Self { to, from }
     }
 }
 
-/// All that a node's threads are made of and joined by.
+/// Settings, rings and published state of a node's threads.
 pub(super) struct NodeParts {
     pub(super) settings: NodeSettings,
     pub(super) seed: u64,
@@ -66,7 +66,7 @@
 }
 
 impl NodeParts {
-    /// Makes what the threads of a node share; what announces the upstream is handed back.
+    /// Creates the shared state of a node's threads, and returns it with the platform's source of announcements.
     pub(super) fn new(settings: NodeSettings, platform: Platform) -> (Option<Box<dyn Announcements>>, Self) {
         let Platform { caller, upstream, format, membership, announcements, ready_path } = platform;
         let state = match announcements {
@@ -74,8 +74,8 @@
             None => UpstreamState::unannounced(),
         };
         let seed = if settings.seed == 0 { fastrand::u64(1..) } else { settings.seed };
-        // Where nodes have a list, a later life of a VM must have the greater number; elsewhere the
-        // time of day may jump, and the store tells which life is the later one.
+        // With a VM list, a later incarnation of a VM must have the greater number. With leases, the store orders the
+        // incarnations and the time of day isn't used, because it may jump.
         let incarnation = match membership {
             Membership::Listed { .. } => wall_us(),
             Membership::Leased { .. } => fastrand::u64(1..),
--- a/valetrack/src/node/stage.rs
+++ b/valetrack/src/node/stage.rs
@@ -1,29 +1,29 @@
-//! Stages of a node's life that its threads tell each other of.
+//! Lifecycle stages of a node, which its threads publish to each other.
 
 use tokio::sync::watch;
 
-/// One switch for each stage; each turns true once and stays so.
+/// One flag for each stage; a flag becomes true once and stays true.
 pub(super) struct Stages {
-    /// A bundle is in force, so this node takes work.
+    /// A bundle is in force, and the node accepts work.
     pub(super) serving: watch::Sender<bool>,
-    /// This node leaves.
+    /// The node is leaving.
     pub(super) leaving: watch::Sender<bool>,
-    /// The gate holds no call any more.
+    /// The gate holds no calls any more.
     pub(super) drained: watch::Sender<bool>,
-    /// Every page is handed over.
+    /// All claim pages are handed over.
     pub(super) released: watch::Sender<bool>,
-    /// No caller is connected any more.
+    /// No callers are connected any more.
     pub(super) emptied: watch::Sender<bool>,
-    /// This node is about to exit.
+    /// The node is about to exit.
     pub(super) exiting: watch::Sender<bool>,
-    /// Other nodes were told that this one exits.
+    /// The exit of the node was reported to other nodes.
     pub(super) departed: watch::Sender<bool>,
-    /// All threads are to end.
+    /// All threads must end.
     pub(super) closing: watch::Sender<bool>,
 }
 
 impl Stages {
-    /// Makes the stages of a node that has just started.
+    /// Returns the stages of a node that has just started.
     pub(super) fn new() -> Self {
         let stage = || watch::Sender::new(false);
         Self {
--- a/valetrack/src/node/start.rs
+++ b/valetrack/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Starts the threads of a node, each with the parts that it works on.
+//! Starts the threads of a node with the state that each of them uses.
 
 use std::net::TcpListener as TcpSocket;
 use std::sync::Arc;
@@ -37,19 +37,19 @@
 use crate::rollout::RolloutFormat;
 use crate::store::{LeaseStore, Store};
 
-/// Time between the word to other nodes that this one takes no more work and the end of its own
-/// callers, in milliseconds: entries gather changes for 0.8 s before they read them.
+/// Time between the report to other nodes that this one accepts no more work and the end of its own callers. Entries
+/// collect changes for 0.8 s before they read them.
 const DRAIN_LEAD_MS: u64 = 1_000;
 
 impl NodeParts {
-    /// Starts the thread of members, and that of claims where nodes have a list.
+    /// Starts the member thread and, for nodes with a VM list, the claim thread.
     pub(super) fn start_membership(&self) -> std::io::Result<Vec<JoinHandle<()>>> {
         match &self.membership {
             Membership::Listed { list, store, claim_store } => {
                 Ok(vec![self.start_claim(claim_store.clone())?, self.start_listed(list.clone(), store.clone())?])
             }
             Membership::Leased { store, bundle_key, evacuation_prefix, rollouts } => {
-                // Without a roster of homes there are no claims: calls with keys are unknown here.
+                // Leased members have no homes of keys, so there are no claims and no keyed calls.
                 self.stages.released.send_replace(true);
                 let (bundle_key, prefix) = (bundle_key.clone(), evacuation_prefix.clone());
                 Ok(vec![self.start_leased(store.clone(), bundle_key, prefix, rollouts.clone())?])
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Returns for how long the upstream still gets new work after the signal to stop: other nodes
-    /// are told early enough that they have turned elsewhere when the last callers are gone.
+    /// Returns the time for which the upstream still receives new work after the signal to stop. It ends early enough
+    /// that other nodes use other owners by the time the last callers have left.
     fn drain_after(&self) -> Duration {
         Duration::from_millis(self.settings.linger_ms.saturating_sub(DRAIN_LEAD_MS))
     }
@@ -115,7 +115,7 @@
         spawn("member", move || crate::member::leased::run(parts, adopter))
     }
 
-    /// Starts the thread that hears the upstream's announcements and keeps its state.
+    /// Starts the thread that receives the upstream's announcements and updates the upstream's state.
     pub(super) fn start_announcements(
         &self,
         announcements: Box<dyn Announcements>,
@@ -130,16 +130,16 @@
             let Ok(listener) = TcpListener::from_std(listener) else {
                 return;
             };
-            let kept_metrics = metrics.clone();
-            let keep = async {
+            let apply_metrics = metrics.clone();
+            let apply = async {
                 let mut watch = CrashWatch::default();
-                while let Ok(news) = ring.recv().await {
-                    take_announcement(&upstream, &news, &mut watch, &kept_metrics);
+                while let Ok(announcement) = ring.recv().await {
+                    apply_announcement(&upstream, &announcement, &mut watch, &apply_metrics);
                 }
             };
             tokio::select! {
                 () = announcements.listen(listener, to, metrics) => {}
-                () = keep => {}
+                () = apply => {}
                 _ = closing.wait_for(|closing| *closing) => {}
             }
         })
@@ -199,8 +199,8 @@
         spawn("member", move || crate::member::run::run(parts, bundler))
     }
 
-    /// Starts the thread of the caller listener and the links: a call's way through both then costs
-    /// no wake-up between them, which on a small VM is most of what a call would cost.
+    /// Starts the thread that runs both the caller listener and the links. A call then needs no thread wake-up between
+    /// the two, which would be most of the cost of a call on a small VM.
     pub(super) fn start_path(&self, callers: TcpSocket, tls: LinkTls) -> std::io::Result<JoinHandle<()>> {
         let (vm, link_addr) = (self.settings.vm.clone(), self.settings.link_addr);
         let (links, placer, callers_parts) = (self.link_parts(), self.placer_parts(), self.listener_parts());
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Starts the thread that keeps what is known of calls that crash upstreams.
+    /// Starts the crash thread, which records calls that crash upstreams.
     pub(super) fn start_crash(&self) -> std::io::Result<JoinHandle<()>> {
         let (archive, store_is_followed): (Arc<dyn CrashArchive>, bool) = match &self.membership {
             Membership::Listed { store, .. } => (Arc::new(StoreArchive(store.clone())), false),
@@ -318,7 +318,7 @@
         spawn("crash", move || crate::crash::run::run(parts))
     }
 
-    /// Starts the thread that answers operators.
+    /// Starts the thread of the admin port.
     pub(super) fn start_admin(&self, operators: TcpSocket) -> std::io::Result<JoinHandle<()>> {
         let parts = AdminParts {
             ready_path: self.ready_path,
@@ -338,9 +338,9 @@
     }
 }
 
-fn take_announcement(
+fn apply_announcement(
     upstream: &watch::Sender<UpstreamState>,
-    news: &Announcement,
+    announcement: &Announcement,
     watch: &mut CrashWatch,
     metrics: &Metrics,
 ) {
@@ -348,21 +348,24 @@
         let before = upstream.borrow();
         (before.start, before.phase)
     };
-    // An upstream stands still with its VM, so what is said of its times goes by the steady clock.
+    // An upstream is suspended together with its VM, so its announced times are measured by the steady clock.
     let now = steady_us();
-    let changed = upstream.send_if_modified(|state| state.take(news, now));
+    let changed = upstream.send_if_modified(|state| state.take(announcement, now));
     let state = upstream.borrow();
     if changed {
         let slots = state.slots.unwrap_or(0);
         let cold_ms = state.cold_until_us.saturating_sub(now) / 1000;
         let UpstreamState { start, phase, .. } = *state;
-        log::info!("event=upstream.state id={} start={start} phase={phase:?} slots={slots} cold_ms={cold_ms}", news.id);
+        log::info!(
+            "event=upstream.state id={} start={start} phase={phase:?} slots={slots} cold_ms={cold_ms}",
+            announcement.id
+        );
     }
     if state.start != start && phase == UpstreamPhase::Ready {
         metrics.upstream_crashes.inc();
         let crashes = watch.crashed(now);
         if watch.is_recurrent(now) {
-            log::warn!("event=upstream.recurrent_crash id={} crashes={crashes}", news.id);
+            log::warn!("event=upstream.recurrent_crash id={} crashes={crashes}", announcement.id);
         }
     }
     metrics.upstream_recurrent_crash.set(watch.is_recurrent(now).into());
--- a/valetrack/src/platform.rs
+++ b/valetrack/src/platform.rs
@@ -1,4 +1,4 @@
-//! The border to the platform: everything that a node takes from where it runs.
+//! Interface to the platform: the services that a node uses from the environment in which it runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,34 +16,34 @@
 use crate::settings::{NATIVE, NodeSettings, SettingFault};
 use crate::store::{HttpStore, LeaseStore, Store};
 
-/// How nodes find each other and get their bundle.
+/// How nodes discover each other and receive their bundle.
 pub enum Membership {
-    /// By a list of VMs that the platform keeps, and by exchanges between nodes.
+    /// By a VM list of the platform and by gossip between nodes.
     Listed {
-        /// The list.
+        /// The VM list.
         list: Arc<dyn VmList>,
         /// The store, for bundles and crashes.
         store: Arc<dyn Store>,
-        /// The same store over a connection of its own: how long that lasts is what claims rest on.
+        /// The same store over a separate connection. Claims depend on how long this connection is uninterrupted.
         claim_store: Arc<dyn Store>,
     },
-    /// By entries with leases in the platform's store.
+    /// By leased entries in the platform's store.
     Leased {
         /// The store.
         store: Arc<dyn LeaseStore>,
-        /// Key of the operators' bundle.
+        /// Key under which operators store the bundle.
         bundle_key: Arc<str>,
-        /// Prefix of the operators' keys that each name a failure domain to be evacuated.
+        /// Prefix of keys under which operators store the names of evacuated failure domains.
         evacuation_prefix: Arc<str>,
-        /// How operators write orders of roll-outs.
+        /// Format of the operators' roll-out orders.
         rollouts: Arc<dyn RolloutFormat>,
     },
 }
 
-/// Hears the announcements of the upstream beside this node.
+/// Receives the announcements of this node's upstream.
 pub trait Announcements: Send {
-    /// Listens until dropped and passes on every announcement; must run on a local task set.
-    /// What cannot be read is counted in `metrics` and changes nothing.
+    /// Listens until dropped and sends every announcement to `to`; must run on a local task set. Unreadable
+    /// announcements are counted in `metrics` and otherwise ignored.
     fn listen(
         self: Box<Self>,
         listener: TcpListener,
@@ -52,42 +52,42 @@
     ) -> LocalBoxFuture<'static, ()>;
 }
 
-/// What a node takes from its platform.
+/// Implementations of the interface for one kind of platform.
 pub struct Platform {
-    /// How it speaks with callers.
+    /// Protocol between the node and its callers.
     pub caller: Arc<dyn CallerProtocol>,
-    /// How it speaks with its upstream.
+    /// Protocol between the node and its upstream.
     pub upstream: Arc<dyn UpstreamProtocol>,
-    /// The language of bundles.
+    /// Format of bundles.
     pub format: Arc<dyn BundleFormat>,
-    /// How nodes find each other.
+    /// How nodes discover each other.
     pub membership: Membership,
-    /// Announcements of the upstream; none where upstreams announce nothing.
+    /// Announcements of the upstream; `None` if upstreams send none.
     pub announcements: Option<Box<dyn Announcements>>,
-    /// Path by which the platform asks whether the node is ready.
+    /// Path of the platform's readiness check.
     pub ready_path: &'static str,
 }
 
-/// Makes the border to one kind of platform.
+/// Creates the interface to one kind of platform.
 pub trait PlatformFactory {
-    /// Returns the name by which a setting chooses it.
+    /// Returns the name that selects this kind of platform in the `platform` setting.
     fn name(&self) -> &'static str;
 
-    /// Returns environment variables that the platform itself sets for every process, which look like
-    /// settings and are none.
+    /// Returns the environment variables that the platform sets for every process and that have the prefix of settings
+    /// but aren't settings.
     fn own_variables(&self) -> &'static [&'static str] {
         &[]
     }
 
-    /// Makes the border.
+    /// Creates the interface.
     ///
     /// # Errors
     ///
-    /// Returns every setting that does not fit this kind of platform.
+    /// Returns the faults of all settings that are invalid for this kind of platform.
     fn open(&self, settings: &NodeSettings) -> Result<Platform, Vec<SettingFault>>;
 }
 
-/// Valetrack's own interface: a store behind the etcd gateway, a VM list, its own headers.
+/// Valetrack's own platform: a store behind the etcd gateway, a VM list, and valetrack's own headers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativePlatform;
 
--- a/valetrack/src/settings.rs
+++ b/valetrack/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: flags and environment variables, checked all at once.
+//! Settings of a node from flags and environment variables, checked all at once.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -11,24 +11,24 @@
 use crate::code::Code;
 use crate::placement::Policy;
 
-/// Prefix of every environment variable.
+/// Prefix of the environment variables of settings.
 pub const ENV_PREFIX: &str = "VALETRACK_";
 
-/// One setting as it is shown in help, man page and completions.
+/// Description of a setting for parsing, help, man page and completions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Setting {
-    /// Name as a flag, without the dashes.
+    /// Name of the flag, without the dashes.
     pub flag: &'static str,
-    /// What it means.
+    /// Help text.
     pub help: &'static str,
-    /// What an allowed value looks like.
-    pub right: &'static str,
-    /// Value where none is set; none when it must be set.
+    /// Description of allowed values.
+    pub expected: &'static str,
+    /// Default value; `None` if the setting is required.
     pub default: Option<&'static str>,
 }
 
 impl Setting {
-    /// Returns the name of its environment variable.
+    /// Returns the name of the environment variable.
     pub fn env(&self) -> String {
         format!("{ENV_PREFIX}{}", self.flag.replace('-', "_").to_ascii_uppercase())
     }
@@ -42,7 +42,7 @@
     setting("server", "Address of that server.", ADDRESS, None),
     setting("caller-listen", "Address for callers.", ADDRESS, Some("127.0.0.1:7000")),
     setting("link-listen", "Address for links of other nodes.", ADDRESS, Some("127.0.0.1:7001")),
-    setting("link-advertise", "Address that other nodes link to; empty for link-listen.", ADDRESS, Some("")),
+    setting("link-advertise", "Address that other nodes connect to; empty for link-listen.", ADDRESS, Some("")),
     setting("admin-listen", "Address for metrics, health and status.", ADDRESS, Some("127.0.0.1:7002")),
     setting("store", "Address of the platform's store.", ADDRESS, None),
     setting("platform", "Kind of platform that the node runs on.", "native or managed", Some(NATIVE)),
@@ -51,113 +51,132 @@
     setting("control-listen", "Address for the upstream's announcements; managed platform only.", ADDRESS, Some("")),
     setting(
         "news-within-ms",
-        "Time within which an operator's change is to be in force.",
+        "Target time until an operator's change is in force.",
         "0 to 600000, with fractions",
         Some("2000"),
     ),
-    setting("lease-ms", "How long a node's entry in the store outlives its last word.", "1000 to 600000", Some("8000")),
+    setting(
+        "lease-ms",
+        "Lifetime of a node's entry in the store after its last renewal.",
+        "1000 to 600000",
+        Some("8000"),
+    ),
     setting(
         "test-suspension-ms",
-        "For tests: SIGUSR2 has the node believe that its VM was suspended for so long.",
+        "For tests: duration of the VM suspension that SIGUSR2 simulates; 0 for none.",
         "0 to 3600000",
         Some("0"),
     ),
-    setting("linger-ms", "Time for which callers still come after a stop has begun.", "0 to 60000", Some("0")),
+    setting("linger-ms", "Time for which callers are still accepted after a stop has begun.", "0 to 60000", Some("0")),
     setting("stop-grace-s", "Time from the signal to stop to the kill; 0 for none.", "0 to 3600", Some("0")),
-    setting("caller-rest-ms", "Time that a caller's connection may rest.", "1000 to 3600000", Some("10000")),
-    setting("retry-ratio", "Retries that the fleet may make for each call; managed platform only.", RATIO, Some("0.1")),
-    setting("retry-reserve", "Retries of the fleet beyond that; managed platform only.", RESERVE, Some("0")),
-    setting("retry-window-s", "Window of the fleet's retries; managed platform only.", "0.1 to 3600", Some("10")),
+    setting("caller-rest-ms", "Idle timeout of a caller's connection.", "1000 to 3600000", Some("10000")),
+    setting("retry-ratio", "Retries that the fleet may make per call; managed platform only.", RATIO, Some("0.1")),
+    setting("retry-reserve", "Retries of the fleet beyond retry-ratio; managed platform only.", RESERVE, Some("0")),
+    setting(
+        "retry-window-s",
+        "Window for counting the fleet's retries; managed platform only.",
+        "0.1 to 3600",
+        Some("10"),
+    ),
     setting("cold-overage", COLD_OVERAGE_HELP, "1 to 100, with fractions", Some("1")),
-    setting("cold-slack", "Calls beyond that which it may get in a second.", "0 to 100000, with fractions", Some("0")),
-    setting("store-timeout-ms", "Time limit of a call to the store.", "1 to 60000", Some("300")),
-    setting("store-writes-per-s", "Writes a second to the store at most.", "1 to 1000", Some("50")),
-    setting("store-reads-per-s", "Reads a second from the store at most.", "1 to 1000", Some("50")),
-    setting("list-poll-ms", "Pause between two looks at the VM list.", "10 to 60000", Some("1000")),
-    setting("gossip-ms", "Pause between two exchanges with other nodes.", "10 to 60000", Some("1000")),
-    setting("silent-ms", "Silence after which a home may be replaced.", "100 to 60000", Some("2500")),
-    setting("drain-ms", "Longest time for a planned stop.", "0 to 600000", Some("30000")),
-    setting("domain-cost-us", "Cost of leaving the failure domain, both ways.", "0 to 1000000", Some("1000")),
-    setting("call-body-ms", "Time that a caller has to send its body.", "10 to 60000", Some("5000")),
-    setting("policy", "Rule of the pick; all but valetrack are for comparison.", POLICIES, Some("valetrack")),
-    setting("log-level", "Least weight of events that are logged.", "error, warn, info, debug or trace", Some("info")),
-    setting("seed", "Seed of random choices; 0 draws one.", "a whole number", Some("0")),
+    setting(
+        "cold-slack",
+        "Calls a second beyond cold-overage that a cold upstream may receive.",
+        "0 to 100000, with fractions",
+        Some("0"),
+    ),
+    setting("store-timeout-ms", "Timeout of a request to the store.", "1 to 60000", Some("300")),
+    setting("store-writes-per-s", "Limit of writes a second to the store.", "1 to 1000", Some("50")),
+    setting("store-reads-per-s", "Limit of reads a second from the store.", "1 to 1000", Some("50")),
+    setting("list-poll-ms", "Interval of reads of the VM list.", "10 to 60000", Some("1000")),
+    setting("gossip-ms", "Interval of exchanges with other nodes.", "10 to 60000", Some("1000")),
+    setting("silent-ms", "Time without contact after which a home may be replaced.", "100 to 60000", Some("2500")),
+    setting("drain-ms", "Time limit of a planned stop.", "0 to 600000", Some("30000")),
+    setting("domain-cost-us", "Round-trip cost of a call to another failure domain.", "0 to 1000000", Some("1000")),
+    setting("call-body-ms", "Time limit for a caller to send a body.", "10 to 60000", Some("5000")),
+    setting(
+        "policy",
+        "Policy of choosing an owner; all but valetrack are for comparison.",
+        POLICIES,
+        Some("valetrack"),
+    ),
+    setting("log-level", "Lowest level of events that are logged.", "error, warn, info, debug or trace", Some("info")),
+    setting("seed", "Seed of random choices; 0 for a random one.", "a whole number", Some("0")),
 ];
 
-/// Name of valetrack's own interface to a platform.
+/// Name of valetrack's own platform.
 pub const NATIVE: &str = "native";
 
-/// What an address looks like.
+/// Allowed values of addresses.
 const ADDRESS: &str = "IP:PORT";
 
-/// What a ratio looks like.
+/// Allowed values of `retry-ratio`.
 const RATIO: &str = "0 to 10, with fractions";
-/// Largest ratio of retries to calls: more than any call may make attempts.
+/// Largest ratio of retries to calls; higher than the number of attempts that any call may make.
 const RETRY_RATIO_MAX: f64 = 10.0;
-/// What a reserve of retries looks like.
+/// Allowed values of `retry-reserve`.
 const RESERVE: &str = "0 to 1000000, with fractions";
-/// Largest reserve of retries: some for each server of the largest fleet that is designed for.
+/// Largest reserve of retries: several for each server of the largest supported fleet.
 const RETRY_RESERVE_MAX: f64 = 1_000_000.0;
-/// Shortest window of the fleet's retries, in seconds: a shorter one is over before an attempt that
-/// it granted has arrived.
+/// Shortest window of the fleet's retries. A shorter window would end before a retry that it granted arrives.
 const RETRY_WINDOW_MIN_S: f64 = 0.1;
 
-/// Times within which a change may have to be in force, in milliseconds.
+/// Allowed values of `news-within-ms`.
 const NEWS_WITHIN_MS: RangeInclusive<f64> = 0.0..=600_000.0;
-/// Shortest such time that is aimed at, in milliseconds: a shorter one is less than some ways between nodes take.
+/// Smallest effective value of `news-within-ms`. Some paths between nodes take longer than a shorter time.
 const NEWS_WITHIN_MIN_MS: u64 = 500;
 
-/// What `cold-overage` means.
-const COLD_OVERAGE_HELP: &str = "Calls a second that a cold upstream may get, as a multiple of what it bears.";
-/// Largest multiple of what a cold upstream bears: more is no bound.
+/// Help text of `cold-overage`.
+const COLD_OVERAGE_HELP: &str = "Calls a second that a cold upstream may receive, as a multiple of its capacity.";
+/// Largest value of `cold-overage`; a larger one would not limit anything.
 const COLD_OVERAGE_MAX: f64 = 100.0;
-/// Largest number of calls that it may get beyond that.
+/// Largest value of `cold-slack`.
 const COLD_SLACK_MAX: f64 = 100_000.0;
 
-/// Names of the rules of the pick.
+/// Allowed values of `policy`.
 const POLICIES: &str = "valetrack, random, round-robin, least-in-flight or two-choices";
 
 const fn setting(
     flag: &'static str,
     help: &'static str,
-    right: &'static str,
+    expected: &'static str,
     default: Option<&'static str>,
 ) -> Setting {
-    Setting { flag, help, right, default }
+    Setting { flag, help, expected, default }
 }
 
-/// A fault of one setting.
+/// Fault of one setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingFault {
-    /// Its code.
+    /// Code of the fault.
     pub code: Code,
-    /// Which setting.
+    /// Flag of the setting.
     pub flag: String,
-    /// What would be right.
-    pub right: String,
+    /// Description of allowed values.
+    pub expected: String,
 }
 
 impl SettingFault {
-    /// Makes the fault of a setting that is missing.
+    /// Returns the fault of a missing required setting.
     pub fn missing(flag: &str) -> Self {
         Self::of(Code::SettingMissing, flag)
     }
 
-    /// Makes the fault of a setting whose value is not allowed.
+    /// Returns the fault of a setting with a value that is not allowed.
     pub fn invalid(flag: &str) -> Self {
         Self::of(Code::SettingInvalid, flag)
     }
 
     fn of(code: Code, flag: &str) -> Self {
-        let right = NODE.iter().find(|setting| setting.flag == flag).map_or("", |setting| setting.right);
-        Self { code, flag: flag.to_owned(), right: right.to_owned() }
+        let expected = NODE.iter().find(|setting| setting.flag == flag).map_or("", |setting| setting.expected);
+        Self { code, flag: flag.to_owned(), expected: expected.to_owned() }
     }
 }
 
 impl std::fmt::Display for SettingFault {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Self { code, flag, right } = self;
-        write!(f, "{code}: --{flag}: {}; wanted: {right}", code.text())
+        let Self { code, flag, expected } = self;
+        write!(f, "{code}: --{flag}: {}; expected: {expected}", code.text())
     }
 }
 
@@ -166,19 +185,19 @@
 pub struct NodeSettings {
     /// Name of this VM.
     pub vm: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of this VM.
     pub domain: Arc<str>,
-    /// The service of its server.
+    /// Service of this VM's server.
     pub service: Arc<str>,
-    /// Address of its server.
+    /// Address of this VM's server.
     pub server_addr: SocketAddr,
     /// Address for callers.
     pub caller_addr: SocketAddr,
     /// Address for links.
     pub link_addr: SocketAddr,
-    /// Address that other nodes link to.
+    /// Address that other nodes connect to.
     pub advertise_addr: SocketAddr,
-    /// Address for operators.
+    /// Address of the admin port.
     pub admin_addr: SocketAddr,
     /// Address of the store.
     pub store_addr: SocketAddr,
@@ -186,61 +205,61 @@
     pub platform: Arc<str>,
     /// Address of the platform's VM list.
     pub list_addr: Option<SocketAddr>,
-    /// Folder of keys; empty where there is none.
+    /// Folder of keys; empty if there is none.
     pub keys_dir: PathBuf,
     /// Address for the upstream's announcements.
     pub control_addr: Option<SocketAddr>,
-    /// Time within which an operator's change is to be in force, in milliseconds: news of the store are relied on for
-    /// three fifths of it.
+    /// Target time until an operator's change is in force. Updates from the store are relied on for three fifths of
+    /// it.
     pub news_within_ms: u64,
-    /// How long a node's entry in the store outlives its last word, in milliseconds.
+    /// Lifetime of a node's entry in the store after its last renewal.
     pub lease_ms: u64,
-    /// For how long SIGUSR2 has the node believe that its VM was suspended, in milliseconds; zero for tests
-    /// that need none and for use.
+    /// Duration of the VM suspension that SIGUSR2 simulates. Zero disables the simulation, as in production and in
+    /// tests that don't need it.
     pub test_suspension_ms: u64,
-    /// Time for which callers still come after a stop has begun, in milliseconds.
+    /// Time for which callers are still accepted after a stop has begun.
     pub linger_ms: u64,
-    /// Time from the signal to stop to the kill, in milliseconds; zero for none.
+    /// Time from the signal to stop to the kill; zero for none.
     pub stop_grace_ms: u64,
-    /// Time that a caller's connection may rest, in milliseconds.
+    /// Idle timeout of a caller's connection.
     pub caller_rest_ms: u64,
-    /// Retries that the fleet may make for each call.
+    /// Retries that the fleet may make per call.
     pub retry_ratio: f64,
-    /// Retries of the fleet beyond that, within one window.
+    /// Retries of the fleet beyond `retry_ratio` within one window.
     pub retry_reserve: u64,
-    /// Length of that window, in milliseconds.
+    /// Window for counting the fleet's retries.
     pub retry_window_ms: u64,
-    /// Calls a second that a cold upstream may get, as a multiple of what it bears.
+    /// Calls a second that a cold upstream may receive, as a multiple of its capacity.
     pub cold_overage: f64,
-    /// Calls that it may get in a second beyond that.
+    /// Calls a second that a cold upstream may receive beyond `cold_overage`.
     pub cold_slack: u64,
-    /// Time limit of a call to the store, in milliseconds.
+    /// Timeout of a request to the store.
     pub store_timeout_ms: u64,
-    /// Writes a second to the store at most.
+    /// Limit of writes a second to the store.
     pub store_writes_per_s: u64,
-    /// Reads a second from the store at most.
+    /// Limit of reads a second from the store.
     pub store_reads_per_s: u64,
-    /// Pause between two looks at the VM list, in milliseconds.
+    /// Interval of reads of the VM list.
     pub list_poll_ms: u64,
-    /// Pause between two exchanges with other nodes, in milliseconds.
+    /// Interval of exchanges with other nodes.
     pub gossip_ms: u64,
-    /// Silence after which a home may be replaced, in milliseconds.
+    /// Time without contact after which a home may be replaced.
     pub silent_ms: u64,
-    /// Longest time for a planned stop, in milliseconds.
+    /// Time limit of a planned stop.
     pub drain_ms: u64,
-    /// Cost of leaving the failure domain, both ways, in microseconds.
+    /// Round-trip cost of a call to another failure domain.
     pub domain_cost_us: u32,
-    /// Time that a caller has to send its body, in milliseconds.
+    /// Time limit for a caller to send the body of a call.
     pub call_body_ms: u64,
-    /// Rule of the pick.
+    /// Policy of choosing an owner.
     pub policy: Policy,
-    /// Least weight of events that are logged.
+    /// Lowest level of events that are logged.
     pub log_level: log::LevelFilter,
     /// Seed of random choices.
     pub seed: u64,
 }
 
-/// Values by flag, from the command line first and the environment second.
+/// Unchecked values by flag. Values of the command line take precedence over those of the environment.
 #[derive(Debug, Clone, Default)]
 pub struct RawSettings {
     values: BTreeMap<String, String>,
@@ -248,7 +267,7 @@
 }
 
 impl RawSettings {
-    /// Takes the value of a flag.
+    /// Sets the value of a flag.
     pub fn set(&mut self, flag: &str, value: OsString) {
         match value.into_string() {
             Ok(value) => {
@@ -257,13 +276,13 @@
             Err(_) => self.faults.push(SettingFault {
                 code: Code::SettingInvalid,
                 flag: flag.to_owned(),
-                right: "text in UTF-8".into(),
+                expected: "text in UTF-8".into(),
             }),
         }
     }
 
-    /// Takes what the flags left open from environment variables; an empty one counts as unset, since a
-    /// platform may fill in a figure that only some of its sites have.
+    /// Sets the values of all flags that aren't set yet from environment variables. An empty variable counts as unset,
+    /// because a platform may fill in a value that only some of its sites have.
     pub fn fill_from(&mut self, env: impl Fn(&str) -> Option<OsString>) {
         for setting in NODE {
             let value = env(&setting.env()).filter(|value| !value.is_empty());
@@ -273,44 +292,45 @@
         }
     }
 
-    fn take<T>(&mut self, flag: &'static str, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
+    fn parse_with<T>(&mut self, flag: &'static str, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
         let known = NODE.iter().find(|setting| setting.flag == flag);
-        let right = known.map_or("", |setting| setting.right);
+        let expected = known.map_or("", |setting| setting.expected);
         let default = known.and_then(|setting| setting.default);
         let given = self.values.get(flag).map(String::as_str).or(default);
         let Some(given) = given else {
-            self.fault(Code::SettingMissing, flag, right);
+            self.fault(Code::SettingMissing, flag, expected);
             return None;
         };
         let parsed = parse(given);
         if parsed.is_none() {
-            self.fault(Code::SettingInvalid, flag, right);
+            self.fault(Code::SettingInvalid, flag, expected);
         }
         parsed
     }
 
-    fn fault(&mut self, code: Code, flag: &str, right: &str) {
-        self.faults.push(SettingFault { code, flag: flag.into(), right: right.into() });
+    fn fault(&mut self, code: Code, flag: &str, expected: &str) {
+        self.faults.push(SettingFault { code, flag: flag.into(), expected: expected.into() });
     }
 
     fn number(&mut self, flag: &'static str, low: u64, high: u64) -> Option<u64> {
-        self.take(flag, |text| text.parse().ok().filter(|number| (low..=high).contains(number)))
+        self.parse_with(flag, |text| text.parse().ok().filter(|number| (low..=high).contains(number)))
     }
 
     fn fraction(&mut self, flag: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
-        self.take(flag, |text| text.parse().ok().filter(|number| range.contains(number)))
+        self.parse_with(flag, |text| text.parse().ok().filter(|number| range.contains(number)))
     }
 
-    /// Reads an address that only some platforms need.
+    /// Parses an address that only some platforms require.
     fn optional_addr(&mut self, flag: &'static str, needed: bool) -> Option<Option<SocketAddr>> {
-        let read = self.take(flag, |text| if text.is_empty() { Some(None) } else { text.parse().ok().map(Some) })?;
+        let read =
+            self.parse_with(flag, |text| if text.is_empty() { Some(None) } else { text.parse().ok().map(Some) })?;
         if needed && read.is_none() {
             self.faults.push(SettingFault::missing(flag));
         }
         Some(read)
     }
 
-    /// Reads the folder of keys, which only the native platform needs.
+    /// Parses the folder of keys, which only the native platform requires.
     fn keys_dir(&mut self, needed: bool) -> Option<PathBuf> {
         let dir: PathBuf = self.parsed("keys")?;
         if needed && dir.as_os_str().is_empty() {
@@ -320,18 +340,18 @@
     }
 
     fn parsed<T: FromStr>(&mut self, flag: &'static str) -> Option<T> {
-        self.take(flag, |text| text.parse().ok())
+        self.parse_with(flag, |text| text.parse().ok())
     }
 
     fn name(&mut self, flag: &'static str) -> Option<Arc<str>> {
-        self.take(flag, |text| is_name(text).then(|| Arc::from(text)))
+        self.parse_with(flag, |text| is_name(text).then(|| Arc::from(text)))
     }
 
-    /// Checks everything.
+    /// Checks all settings.
     ///
     /// # Errors
     ///
-    /// Returns every fault at once.
+    /// Returns the faults of all settings.
     pub fn check(mut self) -> Result<NodeSettings, Vec<SettingFault>> {
         let settings = self.build();
         match settings {
@@ -348,7 +368,7 @@
         let caller_addr = self.parsed("caller-listen");
         let link_addr = self.parsed("link-listen");
         let advertise_addr =
-            self.take("link-advertise", |text| if text.is_empty() { link_addr } else { text.parse().ok() });
+            self.parse_with("link-advertise", |text| if text.is_empty() { link_addr } else { text.parse().ok() });
         let admin_addr = self.parsed("admin-listen");
         let store_addr = self.parsed("store");
         let platform = self.name("platform");
@@ -400,8 +420,8 @@
             stop_grace_ms: (stop_grace_s? * 1000.0) as u64,
             caller_rest_ms: caller_rest_ms?,
             retry_ratio: retry_ratio?,
-            // A part of a retry is none: rounded down, the fleet stays within what was promised. A
-            // platform may scale its bounds to the fleet, and a node that refuses one never starts.
+            // Fractions are accepted because a platform may scale its bounds to the size of the fleet, and a node that
+            // refuses a bound never starts. The value is rounded down to keep the fleet within the guaranteed bound.
             retry_reserve: retry_reserve? as u64,
             retry_window_ms: (retry_window_s? * 1000.0) as u64,
             cold_overage: cold_overage?,
@@ -422,7 +442,7 @@
     }
 }
 
-/// Returns whether a text may name a VM, a failure domain or a service.
+/// Returns whether a text is a valid name of a VM, a failure domain or a service.
 pub fn is_name(name: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     !name.is_empty() && name.len() <= 63 && name.bytes().all(allowed)
