--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -244,7 +244,7 @@
             return;
         };
         if let Some(suspended) = since.take(suspended_us()) {
-            log::info!("event=link.outlived_suspension suspended_ms={}", suspended.as_millis());
+            log::info!("event=link.closed_after_suspension suspended_ms={}", suspended.as_millis());
             connection.close(u32::from(crate::code::Code::LinkLost.number()).into(), b"suspended");
             return;
         }
