--- a/valetrack/src/link/codec.rs
+++ b/valetrack/src/link/codec.rs
@@ -109,7 +109,7 @@
     Ok(Bytes::from(lz4_flex::compress_prepend_size(&packed)))
 }
 
-/// Decodes a store update that [`pack_news`] encoded.
+/// Decodes the body of a store update.
 ///
 /// # Errors
 ///
