--- a/standin/src/soak/caller.rs
+++ b/standin/src/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak: each keeps its connections and calls on until it is told to stop.
+//! Callers of a soak: each one makes calls on its own connection until it is stopped.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,31 +12,31 @@
 use super::judge::{Breach, CallRecord, Seen, Versions};
 use crate::client::{Client, Reply};
 
-/// Callers of each VM.
+/// Number of callers of each VM.
 const CALLERS: usize = 3;
-/// Shortest and longest pause between two calls of one caller, in milliseconds.
+/// Shortest and longest pause between two calls of one caller.
 const PAUSE_MS: std::ops::RangeInclusive<u64> = 10..=60;
-/// Time that a caller gives a call, in milliseconds.
+/// Deadline of a call.
 const DEADLINE_MS: u64 = 1_000;
-/// A caller gives up this much later, in milliseconds.
+/// Time after the deadline at which a caller gives up.
 const SLACK_MS: u64 = 600;
-/// How the ids of questions begin that are no calls of callers.
-pub(super) const QUESTION: &str = "question-";
+/// Prefix of the ids of version checks, which aren't counted as calls.
+pub(super) const VERSION_CHECK_PREFIX: &str = "question-";
 
-/// All callers of a run, and what they saw.
+/// All callers of a run with their observations.
 pub(super) struct Callers {
     seed: u64,
-    /// When the run began.
+    /// Start of the run.
     began: Instant,
     stopped: Cell<bool>,
-    /// Newest version of the configuration that was written.
+    /// Newest configuration version that was written.
     version: Cell<u64>,
     calls: RefCell<Vec<CallRecord>>,
     breaches: RefCell<Vec<Breach>>,
 }
 
 impl Callers {
-    /// Makes callers that have not called yet; the configuration has version 1.
+    /// Creates the callers without starting them; the configuration has version 1.
     pub(super) fn new(seed: u64) -> Self {
         let version = Cell::new(1);
         Self {
@@ -62,34 +62,34 @@
         load
     }
 
-    /// Tells all callers to stop after their present call.
+    /// Stops each caller after its current call.
     pub(super) fn stop(&self) {
         self.stopped.set(true);
     }
 
-    /// Returns the newest version that was written.
+    /// Returns the newest configuration version that was written.
     pub(super) fn version(&self) -> u64 {
         self.version.get()
     }
 
-    /// Returns the version that is to be written next.
+    /// Advances to the next configuration version and returns it.
     pub(super) fn next_version(&self) -> u64 {
-        // Versions rise in uneven steps.
+        // Version numbers need not be consecutive.
         self.version.set(self.version.get() + 1 + self.version.get() % 2);
         self.version.get()
     }
 
-    /// Returns when the run began.
+    /// Returns the start of the run.
     pub(super) fn began(&self) -> Instant {
         self.began
     }
 
-    /// Returns all calls.
+    /// Returns all calls with their results.
     pub(super) fn calls(&self) -> Vec<CallRecord> {
         self.calls.borrow().clone()
     }
 
-    /// Returns the breaches that were seen while calls were made.
+    /// Returns the breaches that were observed during the load.
     pub(super) fn breaches(&self) -> Vec<Breach> {
         self.breaches.borrow().clone()
     }
@@ -104,8 +104,8 @@
             let id = format!("call-{vm}-{caller}-{number}");
             let repeatable = rng.bool();
             let began_ms = self.began.elapsed().as_millis() as u64;
-            let asked = call(&client, &id, repeatable);
-            let seen = match timeout(Duration::from_millis(DEADLINE_MS + SLACK_MS), asked).await {
+            let answer = call(&client, &id, repeatable);
+            let seen = match timeout(Duration::from_millis(DEADLINE_MS + SLACK_MS), answer).await {
                 Ok(Ok(reply)) => Seen::Answer { status: reply.status, own: is_own(&reply, &id) },
                 Ok(Err(_)) => Seen::Cut,
                 Err(_) => Seen::GivenUp,
@@ -115,25 +115,25 @@
         }
     }
 
-    /// Asks a node again and again which versions are in force, the newest and the one before it.
+    /// Checks repeatedly whether a node serves the newest configuration version and the one before it.
     async fn watch_versions(self: Rc<Self>, vm: usize, addr: SocketAddr, fleet: Rc<RefCell<Fleet>>) {
         let mut versions = Versions::default();
-        let mut lives = 0;
+        let mut incarnations = 0;
         let mut before = 1;
         while !self.stopped.get() {
             let newest = self.version();
             for version in [newest, before] {
-                let (name, life) = {
+                let (name, incarnation) = {
                     let fleet = fleet.borrow();
-                    (fleet.vms[vm].name.clone(), fleet.vms[vm].lives)
+                    (fleet.vms[vm].name.clone(), fleet.vms[vm].incarnations)
                 };
-                if life != lives {
-                    lives = life;
+                if incarnation != incarnations {
+                    incarnations = incarnation;
                     versions = Versions::default();
                 }
-                let served = asks(addr, &format!("/version/{version}/")).await;
-                // An answer of the next life says nothing of this one.
-                if fleet.borrow().vms[vm].lives == life {
+                let served = is_served(addr, &format!("/version/{version}/")).await;
+                // The node restarted meanwhile: the answer may come from its next incarnation.
+                if fleet.borrow().vms[vm].incarnations == incarnation {
                     self.breaches.borrow_mut().extend(versions.seen(&name, version, served));
                 }
             }
@@ -143,7 +143,7 @@
     }
 }
 
-/// Returns the service that a call goes to.
+/// Returns the service that a call is routed to.
 pub(super) const fn service_of(repeatable: bool) -> &'static str {
     if repeatable { "rounds" } else { "ledger" }
 }
@@ -163,13 +163,13 @@
     reply.header("x-request-id") == id && !reply.header("x-server-stamp").is_empty() && reply.body == body_of(id)
 }
 
-/// Asks a node for a path on a new connection; returns whether it was served.
-pub(super) async fn asks(addr: SocketAddr, path: &str) -> bool {
-    let id = format!("{QUESTION}{path}");
+/// Requests a path from a node on a new connection and returns whether the answer was 200.
+pub(super) async fn is_served(addr: SocketAddr, path: &str) -> bool {
+    let id = format!("{VERSION_CHECK_PREFIX}{path}");
     let deadline = DEADLINE_MS.to_string();
     let headers = [("host", "farm.example"), ("x-request-id", id.as_str()), ("x-deadline-milliseconds", &deadline)];
     let client = Client::new(addr);
-    let asked = client.call("GET", path, &headers, "");
-    let reply = timeout(Duration::from_millis(DEADLINE_MS + SLACK_MS), asked).await;
+    let answer = client.call("GET", path, &headers, "");
+    let reply = timeout(Duration::from_millis(DEADLINE_MS + SLACK_MS), answer).await;
     matches!(reply, Ok(Ok(reply)) if reply.status == 200)
 }
--- a/standin/src/soak/deadly.rs
+++ b/standin/src/soak/deadly.rs
@@ -1,4 +1,4 @@
-//! A request that crashes the upstreams that run it, sent again and again, and how often it may reach them.
+//! A request that crashes the upstreams that run it: it is sent repeatedly, and its runs are limited.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,32 +11,31 @@
 use super::schedule::{Fault, Step};
 use crate::client::Client;
 
-/// How the ids of such requests begin.
-pub(super) const DEADLY: &str = "deadly-";
-/// Their path; it leads to the first service.
+/// Prefix of the ids of these requests.
+pub(super) const DEADLY_PREFIX: &str = "deadly-";
+/// Path of these requests, which leads to the first service.
 const PATH: &str = "/sheet/deadly";
-/// Pause between two of them, in milliseconds.
+/// Pause between two of these requests.
 const PAUSE_MS: u64 = 70;
-/// For how long an upstream is down after a crash, in milliseconds.
+/// Time for which an upstream is down after a crash.
 const DOWN_MS: u64 = 600;
-/// Crashes after which such a request may reach upstreams a few times more, and how often.
+/// Number of crashes after which the number of further runs is limited.
 const CRASHES: usize = 3;
-/// Sends that are left then, for good.
+/// Maximum number of runs after the limit applies.
 const SENDS_LEFT: usize = 3;
-/// Time after the third crash, or after the last fault on a node, from which on it is held to that, in
-/// milliseconds: the platform's `contact`.
+/// Time after the third crash, or after the last fault on a node, before the limit applies: the platform's `contact`.
 const CONTACT_MS: u64 = 3_000;
 
-/// A run of such a request at an upstream.
+/// One run of the request at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlyRun {
-    /// When it began, from the start of the load, in milliseconds.
+    /// Start of the run, relative to the start of the load.
     pub at_ms: u64,
-    /// Which VM's upstream began it.
+    /// Number of the VM whose upstream ran the request.
     pub vm: usize,
 }
 
-/// Sends the request to each node in turn, under another id each time; runs until it is ended.
+/// Sends the request to each node in turn, each time under a new id, until the task is aborted.
 pub(super) async fn repeat(fleet: Rc<RefCell<Fleet>>) {
     let addrs: Vec<_> = fleet.borrow().vms.iter().map(|vm| vm.caller_addr).collect();
     for vm in &fleet.borrow().vms {
@@ -44,16 +43,16 @@
     }
     for (number, addr) in addrs.into_iter().cycle().enumerate() {
         tokio::task::spawn_local(async move {
-            let id = format!("{DEADLY}{number}");
+            let id = format!("{DEADLY_PREFIX}{number}");
             let headers = [("host", "farm.example"), ("x-request-id", &*id), ("x-deadline-milliseconds", "800")];
-            // Whatever comes of it, it is sent again.
+            // The result doesn't matter: the request is sent again anyway.
             let _ = Client::new(addr).call("GET", PATH, &headers, "the same body").await;
         });
         sleep(Duration::from_millis(PAUSE_MS)).await;
     }
 }
 
-/// Returns the runs of the request at all upstreams, in order.
+/// Returns the runs of the request at all upstreams, ordered by time.
 pub(super) fn runs(fleet: &Rc<RefCell<Fleet>>, began: Instant) -> Vec<DeadlyRun> {
     let mut runs = Vec::new();
     for (vm, at) in fleet.borrow().vms.iter().enumerate() {
@@ -64,19 +63,19 @@
     runs
 }
 
-/// Holds the runs of such a request against what is allowed; nodes near a fault are not held to it.
+/// Checks the number of runs against the limit; runs on nodes with a recent fault are ignored.
 pub fn judge_deadly(runs: &[DeadlyRun], steps: &[Step]) -> Option<Breach> {
     let third = runs.get(CRASHES - 1)?;
     let late = runs.iter().filter(|run| run.at_ms > third.at_ms + CONTACT_MS);
     let late: Vec<&DeadlyRun> = late.filter(|run| steps.iter().all(|step| !is_near(step, run))).collect();
     (late.len() > SENDS_LEFT).then(|| Breach {
-        promise: "a call that crashes upstreams is kept from them",
+        promise: "a call that crashes upstreams stops reaching them",
         subject: PATH.to_owned(),
         detail: format!("{} runs in all, {} late: {late:?}", runs.len(), late.len()),
     })
 }
 
-/// Returns whether a fault strikes the node of a run shortly before it, or the store.
+/// Returns whether a fault affected the store or the node of a run shortly before the run.
 fn is_near(step: &Step, run: &DeadlyRun) -> bool {
     let of_all = matches!(
         step.fault,
--- a/standin/src/soak/fleet.rs
+++ b/standin/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a soak: real nodes as processes, each with its upstream and the paths around it.
+//! The fleet of a soak: real nodes as processes, each with its upstream and the paths to the store and the upstream.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -19,25 +19,25 @@
 
 /// Slots of each upstream.
 const SLOTS: usize = 6;
-/// Time for which a node's callers still come after SIGTERM, in milliseconds.
+/// Time for which a draining node still accepts calls after SIGTERM.
 const LINGER_MS: &str = "600";
-/// For how long a suspended node finds that its VM was, in milliseconds: longer than leases, links and news
-/// last.
+/// Length of a suspension as the node finds it on resumption: longer than the lifetime of leases, links and load
+/// reports.
 const SUSPENSION_MS: &str = "8000";
-/// Time within which a node that was told to stop exits, in seconds.
+/// Time within which a node exits after SIGTERM.
 const GRACE_S: &str = "4";
-/// Ports of one VM.
+/// Number of ports of one VM.
 const PORTS: u16 = 8;
 /// First port of a fleet.
 const FIRST_PORT: u16 = 11_000;
 
-/// What the fleet promises on repeats: the share that the platform's sites ask for, over windows of
-/// which a short run holds two, and a reserve that is small beside the share of such a window.
-pub(super) const PROMISE: RepeatPromise = RepeatPromise { percent: 20, reserve: 20, window_us: 5_000_000 };
-/// Calls that each run of the first service makes to the second one.
+/// The fleet's retry budget: the ratio that the platform's sites require, with a window so short that a short run
+/// contains two, and a reserve that is small compared with the ratio's share of a window.
+pub(super) const RETRY_GUARANTEE: RepeatPromise = RepeatPromise { percent: 20, reserve: 20, window_us: 5_000_000 };
+/// Number of nested calls to the second service in each run of the first one.
 const NESTED_CALLS: usize = 2;
 
-/// Returns the configuration of a version; its own route tells whether it is in force.
+/// Returns the configuration of a version; it has a route for the version that is served only while it is in force.
 pub fn configuration(version: u64) -> String {
     let route = |name: &str, prefix: String, repeat: &str, service: &str| {
         json!({
@@ -59,26 +59,26 @@
     .to_string()
 }
 
-/// Returns a loopback host that no other fleet has, in this process or beside it.
+/// Returns a loopback host that no other fleet uses, in this process or in another one.
 fn own_host() -> [u8; 4] {
     static FLEETS: AtomicU8 = AtomicU8::new(0);
     let process = std::process::id();
     let fleet = FLEETS.fetch_add(1, Ordering::Relaxed) % 250;
-    // Tests of other kinds use the hosts that end in 1.
+    // Other tests use the hosts that end in 1.
     [127, 1 + (process >> 8) as u8 % 254, process as u8, 2 + fleet]
 }
 
-/// One VM with what can be done to it.
+/// One VM with its node, its upstream and the switches of its faults.
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub name: String,
-    /// Where its callers come.
+    /// Address of the node's caller listener.
     pub caller_addr: SocketAddr,
-    /// Where it tells whether it is ready.
+    /// Address of the node's readiness endpoint.
     pub ready_addr: SocketAddr,
-    /// Its upstream.
+    /// The upstream of the VM.
     pub upstream: Arc<ManagedServer>,
-    /// Its upstream's service.
+    /// Service of the upstream.
     pub service: &'static str,
     control_addr: SocketAddr,
     link_addr: SocketAddr,
@@ -89,30 +89,30 @@
     upstream_path: Path,
     cuts: Arc<Cuts>,
     node: Option<Child>,
-    /// Lives of its node so far.
-    pub lives: u64,
+    /// Number of incarnations of the node so far.
+    pub incarnations: u64,
 }
 
-/// Real nodes on the stand-ins; all are ended when it is dropped.
+/// Real nodes with the stand-ins of their surroundings; all nodes are killed on drop.
 pub struct Fleet {
     /// The store.
     pub store: ManagedStore,
     /// The VMs.
     pub vms: Vec<Vm>,
     store_addr: SocketAddr,
-    /// Loopback host of this fleet alone.
+    /// Loopback host that only this fleet uses.
     host: [u8; 4],
     program: PathBuf,
     logs: PathBuf,
 }
 
 impl Fleet {
-    /// Starts `count` VMs of two services over two failure domains; `program` is the node's, and
-    /// `logs` a folder for what nodes write.
+    /// Starts `count` VMs of two services over two failure domains; `program` is the path of the node's program, and
+    /// `logs` the folder for the nodes' log files.
     ///
     /// # Errors
     ///
-    /// Returns why a port, a folder or the program could not be had.
+    /// Returns an error if a port can't be bound, the folder can't be created or the program can't be started.
     pub async fn start(program: &FilePath, logs: &FilePath, count: usize) -> std::io::Result<Self> {
         std::fs::create_dir_all(logs)?;
         let store = ManagedStore::default();
@@ -148,7 +148,7 @@
             upstream_path: Path::default(),
             cuts,
             node: None,
-            lives: 0,
+            incarnations: 0,
         };
         vm.store_path.start(vm.store_path_addr, self.store_addr).await?;
         vm.upstream_path.start(vm.upstream_path_addr, vm.upstream.addr).await?;
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the program could not be started.
+    /// Returns an error if the program can't be started.
     pub fn start_node(&mut self, at: usize) -> std::io::Result<()> {
         let vm = &mut self.vms[at];
         let line = NodeLine {
@@ -181,23 +181,23 @@
             ("test-suspension-ms", SUSPENSION_MS.to_owned()),
             ("linger-ms", LINGER_MS.to_owned()),
             ("stop-grace-s", GRACE_S.to_owned()),
-            ("retry-ratio", (f64::from(PROMISE.percent) / 100.0).to_string()),
-            ("retry-reserve", PROMISE.reserve.to_string()),
-            ("retry-window-s", (PROMISE.window_us as f64 / 1_000_000.0).to_string()),
+            ("retry-ratio", (f64::from(RETRY_GUARANTEE.percent) / 100.0).to_string()),
+            ("retry-reserve", RETRY_GUARANTEE.reserve.to_string()),
+            ("retry-window-s", (RETRY_GUARANTEE.window_us as f64 / 1_000_000.0).to_string()),
         ];
         let log = File::options().create(true).append(true).open(self.logs.join(format!("{}.log", vm.name)))?;
         let errors = log.try_clone()?;
         vm.node = Some(line.command(&self.program, further).stdout(log).stderr(errors).spawn()?);
-        vm.lives += 1;
+        vm.incarnations += 1;
         Ok(())
     }
 
-    /// Starts the node of a VM anew where it has ended.
+    /// Starts the node of a VM again if it has exited.
     ///
     /// # Errors
     ///
-    /// Returns why the program could not be started.
-    pub fn revive(&mut self, at: usize) -> std::io::Result<()> {
+    /// Returns an error if the program can't be started.
+    pub fn restart_if_exited(&mut self, at: usize) -> std::io::Result<()> {
         let ended = self.vms[at].node.as_mut().is_none_or(|node| matches!(node.try_wait(), Ok(Some(_))));
         if ended { self.start_node(at) } else { Ok(()) }
     }
@@ -220,7 +220,7 @@
             Fault::Revoke => self.store.revoke("valetrack/"),
             Fault::Lapse => self.store.lapse(),
             Fault::Compact => self.store.compact(),
-            // The caller of this function writes it, since it counts the versions.
+            // The caller of this function writes the configuration, since it counts the versions.
             Fault::Configure => {}
         }
     }
@@ -260,8 +260,8 @@
         self.vms.iter().filter(|vm| vm.service == service).for_each(|vm| vm.upstream.set_spoil(spoil));
     }
 
-    /// Ends every fault there may be.
-    pub fn mend(&mut self) {
+    /// Ends all faults.
+    pub fn end_all_faults(&mut self) {
         for at in 0..self.vms.len() {
             self.end(at, Fault::Pause);
             self.end(at, Fault::StorePath(PathFault::Reset));
@@ -281,16 +281,16 @@
         let Some(node) = &mut self.node else {
             return;
         };
-        // A process that has ended and was waited for has given up its id.
+        // After `try_wait` has reaped the process, its id may belong to another one.
         if matches!(node.try_wait(), Ok(None)) {
-            // It may end at this very moment; then there is nothing to signal.
+            // The process may exit right now; then there is nothing to signal.
             let _ = Command::new("kill").args([signal, &node.id().to_string()]).stderr(Stdio::null()).status();
         }
     }
 
     fn kill(&mut self) {
         if let Some(node) = &mut self.node {
-            // A node that has ended by itself needs no kill.
+            // Fails if the node has already exited.
             let _ = node.kill();
             let _ = node.wait();
         }
--- a/standin/src/soak/judge.rs
+++ b/standin/src/soak/judge.rs
@@ -1,47 +1,47 @@
-//! What was promised, held against what callers and upstreams saw.
+//! Checks the guarantees against the observations of callers and upstreams.
 
 use std::collections::BTreeMap;
 
-/// Servers that one call may run on: the routes of the soak allow two.
+/// Maximum number of servers that run one call: the routes of the soak allow two attempts.
 const RUNS_MAX: u64 = 2;
 
-/// How a call ended, as its caller saw it.
+/// Result of a call, as its caller observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Seen {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answer {
-        /// Its status.
+        /// Status of the answer.
         status: u16,
-        /// Whether id, stamp and body are those of the call's own run.
+        /// Whether id, stamp and body of the answer belong to this call.
         own: bool,
     },
-    /// The connection ended without a whole answer.
+    /// The connection ended before the answer was complete.
     Cut,
-    /// The caller gave up.
+    /// The caller gave up at its time limit.
     GivenUp,
 }
 
-/// One call.
+/// One call and its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallRecord {
-    /// Its id.
+    /// Id of the call.
     pub id: String,
-    /// When it began, from the start of the run, in milliseconds.
+    /// Start of the call, relative to the start of the run.
     pub began_ms: u64,
-    /// Whether its work may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// How it ended.
+    /// Result of the call.
     pub seen: Seen,
 }
 
-/// A promise that was broken.
+/// A broken guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach {
-    /// Which promise.
+    /// The guarantee.
     pub promise: &'static str,
-    /// The call's id, or the VM.
+    /// Id of the call, or name of the VM or the service.
     pub subject: String,
-    /// What was seen.
+    /// Details of the observation.
     pub detail: String,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Holds calls against how often each id ran; `planned` says that only planned work happened.
+/// Checks each call against the number of runs of its id; `planned` means that only planned work happened.
 pub fn judge_calls(calls: &[CallRecord], runs: &BTreeMap<String, u64>, planned: bool) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for call in calls {
@@ -61,50 +61,50 @@
             breaches.push(Breach { promise, subject: call.id.clone(), detail });
         };
         if !call.repeatable && ran > 1 {
-            breach("work that may not repeat runs once");
+            breach("a call that is not repeatable runs at most once");
         }
         if ran > RUNS_MAX {
             breach("a call runs on two servers at most");
         }
         match call.seen {
-            Seen::Answer { status: 200, own: false } => breach("an answer is whole and the call's own"),
+            Seen::Answer { status: 200, own: false } => breach("an answer is complete and belongs to its call"),
             Seen::Answer { status: 408 | 421 | 429 | 503, .. } if ran > 0 && !call.repeatable => {
-                breach("what is refused has not run");
+                breach("a refused call has not run");
             }
-            Seen::Answer { status: 400..=407 | 409..=420, .. } => breach("a proper call is not denied"),
+            Seen::Answer { status: 400..=407 | 409..=420, .. } => breach("a valid call is not denied"),
             Seen::Answer { status: 502 | 504, .. } | Seen::GivenUp if planned => {
                 breach("planned work fails no call");
             }
-            Seen::Cut if planned && ran > 0 => breach("planned work cuts nothing"),
+            Seen::Cut if planned && ran > 0 => breach("planned work cuts no connection"),
             Seen::Answer { .. } | Seen::Cut | Seen::GivenUp => {}
         }
     }
-    let known: std::collections::BTreeSet<&str> = calls.iter().map(|call| call.id.as_str()).collect();
-    // What a run calls has the id of the run's own call in front.
-    let sent = |id: &str| known.contains(id.split('.').next().unwrap_or(id));
+    let sent_ids: std::collections::BTreeSet<&str> = calls.iter().map(|call| call.id.as_str()).collect();
+    // The id of a nested call starts with the id of the call that made it.
+    let sent = |id: &str| sent_ids.contains(id.split('.').next().unwrap_or(id));
     for id in runs.keys().filter(|id| !sent(id)) {
         let detail = "an upstream ran it".to_owned();
-        breaches.push(Breach { promise: "only what callers sent runs", subject: id.clone(), detail });
+        breaches.push(Breach { promise: "only calls sent by callers run", subject: id.clone(), detail });
     }
     breaches
 }
 
-/// Versions of the configuration that one life of a node was seen to have in force.
+/// Latest configuration version that was observed in force on one incarnation of a node.
 #[derive(Debug, Clone, Default)]
 pub struct Versions {
     latest: u64,
 }
 
 impl Versions {
-    /// Takes that the route of a version was served or not, where the question was sent after
-    /// all earlier answers; returns a breach when a later version was in force before.
+    /// Records whether the route of a version was served; the request must be sent after all earlier answers. Returns a
+    /// breach if a later version was in force before.
     pub fn seen(&mut self, vm: &str, version: u64, served: bool) -> Option<Breach> {
         if !served {
             return None;
         }
         if version < self.latest {
             let detail = format!("the route of version {version} is served after that of {}", self.latest);
-            return Some(Breach { promise: "configurations only go forward", subject: vm.to_owned(), detail });
+            return Some(Breach { promise: "configuration versions only increase", subject: vm.to_owned(), detail });
         }
         self.latest = version;
         None
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! The fault soak: real nodes under load, faults from outside them by a seed, and the promises held
-//! against what callers and upstreams see.
+//! The fault soak: real nodes under load with faults injected from outside by a seeded schedule. The guarantees are
+//! checked against the observations of callers and upstreams.
 
 mod caller;
 mod deadly;
@@ -25,53 +25,51 @@
 pub use self::schedule::{Fault, Kind, PathFault, Step, rollbacks, schedule, suspensions};
 
 use self::caller::Callers;
-use self::fleet::{Fleet, PROMISE, configuration};
+use self::fleet::{Fleet, RETRY_GUARANTEE, configuration};
 use crate::client::Client;
 
-/// Time within which a fleet starts, in seconds.
+/// Time within which all nodes of a new fleet become ready.
 const START_S: u64 = 30;
-/// Time within which a fleet serves again after the last fault, in seconds: the platform's
-/// `recovery`.
+/// Time within which the fleet serves again after the last fault: the platform's `recovery`.
 const RECOVERY_S: u64 = 15;
-/// Pause between two looks at which nodes have ended, in milliseconds.
-const REVIVE_MS: u64 = 100;
-/// Pause between two questions whether a node is ready or serves, in milliseconds: short beside the
-/// time in which it has to.
-const ASK_MS: u64 = 50;
-/// Time after the load for runs that are still under way, in milliseconds: longer than any call.
+/// Pause between two checks for nodes that have exited.
+const RESTART_CHECK_MS: u64 = 100;
+/// Pause between two requests that check whether a node is ready or serves: short compared with the time limits above.
+const POLL_MS: u64 = 50;
+/// Time after the load for runs that are still in progress: longer than any call.
 const SETTLE_MS: u64 = 2_500;
 
 /// Settings of one run.
 #[derive(Debug, Clone)]
 pub struct SoakSettings {
-    /// The seed, which decides all faults.
+    /// The seed, which determines all faults.
     pub seed: u64,
-    /// How long faults come, in seconds.
+    /// Duration of the load and of the fault schedule.
     pub seconds: u64,
-    /// How many VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// The node's program.
+    /// Path of the node's program.
     pub program: PathBuf,
-    /// Folder for what the nodes write.
+    /// Folder for the log files of the nodes.
     pub logs: PathBuf,
-    /// Whether a request that crashes upstreams comes again and again, and VMs are suspended.
+    /// Whether a request that crashes upstreams is sent repeatedly, and VMs are suspended.
     pub crashes: bool,
-    /// Whether the store comes back from older copies.
+    /// Whether the store is rolled back to older copies.
     pub rollbacks: bool,
 }
 
-/// What came of one run.
+/// Result of one run.
 #[derive(Debug, Clone, Default)]
 pub struct SoakReport {
-    /// Calls by how they ended.
+    /// Number of calls by result.
     pub ends: BTreeMap<String, u64>,
-    /// Faults that were put.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Promises that were broken.
+    /// Guarantees that were broken.
     pub breaches: Vec<Breach>,
 }
 
-/// Plays one run.
+/// Executes one run.
 ///
 /// # Errors
 ///
@@ -97,38 +95,38 @@
     let mut report = SoakReport { faults: steps.len(), ..SoakReport::default() };
     let callers = Rc::new(Callers::new(settings.seed));
     let mut load = callers.clone().start(&fleet);
-    let reviving = tokio::task::spawn_local(revive(fleet.clone()));
+    let restarting = tokio::task::spawn_local(restart_exited_nodes(fleet.clone()));
     let deadly = settings.crashes.then(|| tokio::task::spawn_local(deadly::repeat(fleet.clone())));
-    put(&steps, &fleet, &callers).await;
-    fleet.borrow_mut().mend();
+    inject(&steps, &fleet, &callers).await;
+    fleet.borrow_mut().end_all_faults();
     if timeout(Duration::from_secs(RECOVERY_S), all_serve(&fleet, callers.version())).await.is_err() {
         let detail = format!("not all nodes are ready and serve the newest version after {RECOVERY_S} s");
-        report.breaches.push(Breach { promise: "the fleet serves again", subject: "fleet".into(), detail });
+        report.breaches.push(Breach { promise: "the fleet recovers", subject: "fleet".into(), detail });
     }
     callers.stop();
     while load.join_next().await.is_some() {}
     sleep(Duration::from_millis(SETTLE_MS)).await;
-    reviving.abort();
+    restarting.abort();
     if let Some(deadly) = deadly {
         deadly.abort();
         report.breaches.extend(judge_deadly(&deadly::runs(&fleet, callers.began()), &steps));
     }
     let calls = callers.calls();
-    report.ends = ends(&calls);
-    // A crash or a suspension is nobody's plan; a store that comes back older cuts no call.
+    report.ends = count_results(&calls);
+    // Crashes and suspensions aren't planned work; a store rollback cuts no call.
     let planned = Kind::of_seed(settings.seed) == Kind::Planned && !settings.crashes;
     report.breaches.extend(callers.breaches());
     report.breaches.extend(judge_calls(&calls, &runs(&fleet), planned));
-    report.breaches.extend(drained_late(&fleet));
+    report.breaches.extend(late_arrival_breaches(&fleet));
     let services = [true, false].map(caller::service_of);
     report
         .breaches
-        .extend(services.iter().filter_map(|service| repeats_over(service, &calls, &fleet, callers.began())));
+        .extend(services.iter().filter_map(|service| retry_breach(service, &calls, &fleet, callers.began())));
     Ok(report)
 }
 
-/// Counts calls by how they ended.
-fn ends(calls: &[CallRecord]) -> BTreeMap<String, u64> {
+/// Counts calls by result.
+fn count_results(calls: &[CallRecord]) -> BTreeMap<String, u64> {
     let mut ends = BTreeMap::new();
     for call in calls {
         let end = match &call.seen {
@@ -141,8 +139,8 @@
     ends
 }
 
-/// Puts the faults at their moments, and ends each in its time.
-async fn put(steps: &[Step], fleet: &Rc<RefCell<Fleet>>, callers: &Rc<Callers>) {
+/// Injects each fault at its time and ends it after its duration.
+async fn inject(steps: &[Step], fleet: &Rc<RefCell<Fleet>>, callers: &Rc<Callers>) {
     let began = Instant::now();
     let mut ends = tokio::task::JoinSet::new();
     for step in steps.iter().copied() {
@@ -157,7 +155,7 @@
             sleep(Duration::from_millis(step.lasts_ms)).await;
             fleet.borrow_mut().end(step.vm, step.fault);
             if matches!(step.fault, Fault::ComeBackOlder { .. }) {
-                // The operator finds what is missing after about as long as the store was away.
+                // The operator notices the missing configuration after about as long as the store was unavailable.
                 sleep(Duration::from_millis(step.lasts_ms)).await;
                 fleet.borrow().store.put("op/config", &configuration(callers.version()));
             }
@@ -166,14 +164,14 @@
     while ends.join_next().await.is_some() {}
 }
 
-/// Starts nodes anew that have ended, as the platform does.
-async fn revive(fleet: Rc<RefCell<Fleet>>) {
+/// Restarts nodes that have exited, as the platform does.
+async fn restart_exited_nodes(fleet: Rc<RefCell<Fleet>>) {
     loop {
-        sleep(Duration::from_millis(REVIVE_MS)).await;
+        sleep(Duration::from_millis(RESTART_CHECK_MS)).await;
         let count = fleet.borrow().vms.len();
         for at in 0..count {
-            if let Err(error) = fleet.borrow_mut().revive(at) {
-                eprintln!("vm-{at} could not be started again: {error}");
+            if let Err(error) = fleet.borrow_mut().restart_if_exited(at) {
+                eprintln!("vm-{at} could not be restarted: {error}");
             }
         }
     }
@@ -183,19 +181,19 @@
     let addrs: Vec<_> = fleet.borrow().vms.iter().map(|vm| vm.ready_addr).collect();
     for addr in addrs {
         while !Client::new(addr).call("GET", "/api/readiness", &[], "").await.is_ok_and(|reply| reply.status == 200) {
-            sleep(Duration::from_millis(ASK_MS)).await;
+            sleep(Duration::from_millis(POLL_MS)).await;
         }
     }
 }
 
-/// Waits until every node is ready and serves calls by the newest configuration.
+/// Waits until every node is ready and serves calls with the newest configuration.
 async fn all_serve(fleet: &Rc<RefCell<Fleet>>, version: u64) {
     all_ready(fleet).await;
     let addrs: Vec<_> = fleet.borrow().vms.iter().map(|vm| vm.caller_addr).collect();
     for addr in addrs {
         let path = format!("/version/{version}/");
-        while !caller::asks(addr, &path).await {
-            sleep(Duration::from_millis(ASK_MS)).await;
+        while !caller::is_served(addr, &path).await {
+            sleep(Duration::from_millis(POLL_MS)).await;
         }
     }
 }
@@ -207,34 +205,34 @@
             *runs.entry(id).or_insert(0) += count;
         }
     }
-    runs.retain(|id, _| !is_apart(id));
+    runs.retain(|id, _| !is_auxiliary(id));
     runs
 }
 
-/// Returns whether an id is of a request beside the callers' calls.
-fn is_apart(id: &str) -> bool {
-    id.starts_with(caller::QUESTION) || id.starts_with(deadly::DEADLY)
+/// Returns whether a request id belongs to a request other than the callers' calls.
+fn is_auxiliary(id: &str) -> bool {
+    id.starts_with(caller::VERSION_CHECK_PREFIX) || id.starts_with(deadly::DEADLY_PREFIX)
 }
 
-fn repeats_over(service: &str, calls: &[CallRecord], fleet: &Rc<RefCell<Fleet>>, began: Instant) -> Option<Breach> {
+fn retry_breach(service: &str, calls: &[CallRecord], fleet: &Rc<RefCell<Fleet>>, began: Instant) -> Option<Breach> {
     let fleet = fleet.borrow();
     let of_service = fleet.vms.iter().filter(|vm| vm.service == service);
     let arrivals = of_service.flat_map(|vm| vm.upstream.arrivals());
     let arrivals = arrivals
-        .filter(|(_, id)| !is_apart(id))
+        .filter(|(_, id)| !is_auxiliary(id))
         .map(|(at, id)| Arrival { at_ms: at.saturating_duration_since(began.into_std()).as_millis() as u64, id });
     let of_service = calls.iter().filter(|call| caller::service_of(call.repeatable) == service);
     let began_ms: Vec<u64> = of_service.map(|call| call.began_ms).collect();
-    judge_repeats(service, arrivals.collect(), &began_ms, PROMISE)
+    judge_repeats(service, arrivals.collect(), &began_ms, RETRY_GUARANTEE)
 }
 
-fn drained_late(fleet: &Rc<RefCell<Fleet>>) -> Vec<Breach> {
+fn late_arrival_breaches(fleet: &Rc<RefCell<Fleet>>) -> Vec<Breach> {
     let fleet = fleet.borrow();
     let late = fleet.vms.iter().filter(|vm| vm.upstream.late_arrivals() > 0);
     late.map(|vm| Breach {
-        promise: "a leaving upstream gets no new work",
+        promise: "a draining upstream receives no new work",
         subject: vm.name.clone(),
-        detail: format!("{} arrivals after the time to drain", vm.upstream.late_arrivals()),
+        detail: format!("{} arrivals after the drain timeout", vm.upstream.late_arrivals()),
     })
     .collect()
 }
--- a/standin/src/soak/path.rs
+++ b/standin/src/soak/path.rs
@@ -1,4 +1,4 @@
-//! A TCP path with faults: a relay on loopback that delays, loses or resets.
+//! A TCP relay on loopback that injects faults: it delays or drops bytes, or resets connections.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,10 +11,10 @@
 
 use super::schedule::PathFault;
 
-/// Bytes that are read at once.
+/// Maximum size of one read.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// A path that can be told to fail; clones share it.
+/// A relayed path with an adjustable fault; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Path {
     fault: Arc<Mutex<Option<PathFault>>>,
@@ -22,11 +22,11 @@
 }
 
 impl Path {
-    /// Serves the path from `listen` to `far_end` until the runtime ends.
+    /// Relays connections from `listen` to `far_end` until the runtime ends.
     ///
     /// # Errors
     ///
-    /// Returns why the address could not be listened on.
+    /// Returns an error if the address can't be bound.
     pub async fn start(&self, listen: SocketAddr, far_end: SocketAddr) -> std::io::Result<()> {
         let listener = TcpListener::bind(listen).await?;
         let path = self.clone();
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Sets what goes wrong from now on; none mends the path.
+    /// Sets the fault of the path; `None` ends it.
     pub fn set(&self, fault: Option<PathFault>) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
         if fault == Some(PathFault::Reset) {
@@ -62,7 +62,7 @@
             reset(&near);
             return;
         };
-        // Small exchanges must not wait for each other.
+        // Nagle's algorithm would delay small messages.
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let (near_read, near_write) = near.into_split();
         let (far_read, far_write) = far.into_split();
@@ -70,12 +70,12 @@
         let back = self.clone().copy(far_read, near_write, PathFault::OneWay);
         tokio::select! {
             _ = async { tokio::join!(there, back) } => {}
-            // Both sockets are dropped with bytes unread or unsent, which resets or ends them.
+            // Both sockets are dropped with bytes unread or unsent, which resets or closes them.
             () = self.reset.notified() => {}
         }
     }
 
-    /// Copies one direction; while `losing` is the fault, its bytes are lost.
+    /// Copies one direction; its bytes are dropped while the fault is `losing`.
     async fn copy(self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, losing: PathFault) {
         let mut chunk = vec![0; CHUNK_BYTES];
         loop {
@@ -83,7 +83,7 @@
                 return;
             };
             if length == 0 {
-                // The other direction goes on; a far end that has gone needs no end told.
+                // The other direction stays open; shutdown fails only if the far end has already closed.
                 let _ = to.shutdown().await;
                 return;
             }
@@ -99,8 +99,8 @@
     }
 }
 
-/// Has a connection reset when it is dropped.
+/// Makes the connection close with a reset when it is dropped.
 fn reset(stream: &TcpStream) {
-    // Where it fails, the connection ends in order, which is as unexpected to its other end.
+    // If this fails, the connection closes in order, which is just as unexpected for the peer.
     let _ = stream.set_zero_linger();
 }
--- a/standin/src/soak/repeat.rs
+++ b/standin/src/soak/repeat.rs
@@ -1,4 +1,4 @@
-//! The fleet's promise on repeats, held against what arrived at its upstreams.
+//! Checks the fleet's retry budget against the arrivals at its upstreams.
 
 use std::collections::BTreeSet;
 
@@ -6,16 +6,16 @@
 
 use super::judge::Breach;
 
-/// One arrival at a service.
+/// Arrival of one call at a service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Arrival {
-    /// When, from the start of the run, in milliseconds.
+    /// Time of arrival, relative to the start of the run.
     pub at_ms: u64,
-    /// Id of the call; the calls of a run that was repeated have the ids of the first run's calls.
+    /// Id of the call; a retry of a call makes its nested calls under the same ids as the first run.
     pub id: String,
 }
 
-/// Holds the arrivals at one service against a promise; `began_ms` tells when callers called it.
+/// Checks the arrivals at one service against the retry budget; `began_ms` holds the start times of the callers' calls.
 pub fn judge_repeats(
     service: &str,
     mut arrivals: Vec<Arrival>,
@@ -23,24 +23,24 @@
     promise: RepeatPromise,
 ) -> Option<Breach> {
     arrivals.sort();
-    let mut known = BTreeSet::new();
-    let (first, repeats): (Vec<&Arrival>, Vec<&Arrival>) =
-        arrivals.iter().partition(|arrival| known.insert(arrival.id.as_str()));
-    // Calls that runs make are known by their arrivals only.
+    let mut seen_ids = BTreeSet::new();
+    let (first, retries): (Vec<&Arrival>, Vec<&Arrival>) =
+        arrivals.iter().partition(|arrival| seen_ids.insert(arrival.id.as_str()));
+    // Callers have no record of nested calls, so these are counted by their first arrival.
     let nested = first.iter().filter(|arrival| arrival.id.contains('.')).map(|arrival| arrival.at_ms);
     let calls_ms: Vec<u64> = began_ms.iter().copied().chain(nested).collect();
-    let repeats_ms: Vec<u64> = repeats.iter().map(|arrival| arrival.at_ms).collect();
+    let retries_ms: Vec<u64> = retries.iter().map(|arrival| arrival.at_ms).collect();
     let window_ms = promise.window_us / 1000;
     let within = |times: &[u64], from_ms: u64| {
         times.iter().filter(|at_ms| (from_ms..from_ms + window_ms).contains(at_ms)).count() as u64
     };
-    repeats_ms.iter().find_map(|&from_ms| {
-        let count = within(&repeats_ms, from_ms);
+    retries_ms.iter().find_map(|&from_ms| {
+        let count = within(&retries_ms, from_ms);
         let windows = [0, window_ms / 2, window_ms];
         let calls = windows.iter().map(|earlier_ms| within(&calls_ms, from_ms.saturating_sub(*earlier_ms))).max()?;
         let allowed = calls * u64::from(promise.percent) / 100 + u64::from(promise.reserve);
         (count > allowed).then(|| Breach {
-            promise: "repeats stay within their budget",
+            promise: "retries stay within their budget",
             subject: service.to_owned(),
             detail: format!("from {from_ms} ms: {count} for {calls} calls, allowed {allowed}"),
         })
--- a/standin/src/soak/schedule.rs
+++ b/standin/src/soak/schedule.rs
@@ -1,114 +1,112 @@
-//! What goes wrong in one run of the soak, and when: decided by the seed alone.
+//! The fault schedule of one run, which depends on the seed alone.
 
 use crate::managed::server::Spoil;
 use crate::managed::store::Mode;
 
-/// Shortest and longest time that a fault lasts, in milliseconds: from a blink to longer than a
-/// lease holds.
+/// Shortest and longest duration of a fault; the longest one exceeds a lease.
 const LASTS_MS: std::ops::RangeInclusive<u64> = 100..=3_500;
-/// Average pause between two faults for each VM, in milliseconds, so that faults overlap in fleets
-/// of any size.
+/// Average pause between two faults for each VM, so that faults overlap in fleets of any size.
 const PAUSE_MS: u64 = 4_000;
-/// Average pause between two suspensions of each VM, in milliseconds.
+/// Average pause between two suspensions of each VM.
 const SUSPENSION_PAUSE_MS: u64 = 15_000;
-/// Average pause between two returns of the store from an older copy, in milliseconds.
+/// Average pause between two store rollbacks.
 const ROLLBACK_PAUSE_MS: u64 = 4_000;
-/// Longest absence of the store before one, in milliseconds.
-const ABSENCE_MAX_MS: u64 = 1_500;
-/// Most changes that it loses: more than a fleet of a dozen nodes makes in a few seconds.
+/// Longest time for which the store is unavailable before a rollback.
+const OUTAGE_MAX_MS: u64 = 1_500;
+/// Maximum number of changes lost by a rollback: more than a fleet of a dozen nodes makes in a few seconds.
 const LOST_MAX: usize = 60;
-/// A fault follows its like on the same VM once in this many times, so that series come up.
+/// One in this many faults repeats the previous one on the same VM, so that series of the same fault occur.
 const SERIES: u32 = 4;
 
-/// One fault, as it is put on one VM or on the store.
+/// A fault of one VM or of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The node is stopped by SIGTERM and started again.
     Term,
-    /// The node gets SIGHUP.
+    /// The node receives SIGHUP.
     Hangup,
     /// The node is killed and started again.
     Kill,
-    /// The node stands still.
+    /// The node is paused.
     Pause,
-    /// The node's calls to the store are treated so.
+    /// The path from the node to the store has this fault.
     StorePath(PathFault),
-    /// The node's calls to its upstream are treated so.
+    /// The path from the node to its upstream has this fault.
     UpstreamPath(PathFault),
-    /// Datagrams to the node are lost, or those from it, or both.
+    /// Datagrams to the node, from it, or both are dropped.
     Links {
-        /// Whether those to it are.
+        /// Whether datagrams to the node are dropped.
         inbound: bool,
-        /// Whether those from it are.
+        /// Whether datagrams from the node are dropped.
         outbound: bool,
     },
-    /// The answers of all upstreams of the VM's service are spoilt so.
+    /// All upstreams of the VM's service spoil their answers in this way.
     Spoil(Spoil),
-    /// The upstream announces that it leaves, ends and starts again under another id.
+    /// The upstream announces that it is draining, stops, and starts again under another id.
     Drain,
     /// The store is in this mode.
     Store(Mode),
-    /// The store takes the nodes' entries away.
+    /// The store removes the nodes' entries.
     Revoke,
-    /// Every lease runs out.
+    /// Every lease expires.
     Lapse,
-    /// The store forgets its history.
+    /// The store discards its history.
     Compact,
-    /// The store goes away, and comes back from a copy that is this many changes older; then the operator writes
-    /// again what is missing.
+    /// The store becomes unavailable and is restored from an older copy; then the operator writes the configuration
+    /// again.
     ComeBackOlder {
-        /// How many.
+        /// Number of changes that the copy lacks.
         changes: usize,
     },
     /// The operator writes the next configuration.
     Configure,
-    /// The VM is suspended: its node stands still, and finds that the time has gone on.
+    /// The VM is suspended: its node is paused and finds on resumption that time has passed.
     Suspend,
 }
 
-/// What a TCP path does.
+/// A fault of a TCP path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PathFault {
-    /// Bytes come this much later, in milliseconds.
+    /// Bytes are delayed by this many milliseconds.
     Delay(u64),
-    /// Bytes to the far end are lost, and nobody is told.
+    /// Bytes to the far end are dropped silently.
     Silent,
-    /// Bytes from the far end are lost, and nobody is told.
+    /// Bytes from the far end are dropped silently.
     OneWay,
     /// Connections are reset.
     Reset,
 }
 
-/// One fault at its moment.
+/// One scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// When it begins, from the start of the load, in milliseconds.
+    /// Start of the fault, relative to the start of the load.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the fault.
     pub lasts_ms: u64,
-    /// The VM that it strikes; faults of the store strike all.
+    /// Number of the affected VM; faults of the store affect all VMs.
     pub vm: usize,
     /// The fault.
     pub fault: Fault,
 }
 
-/// Which faults a run draws from.
+/// The set of faults that a run draws from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Only what operators plan: stops, drains, configurations, hangups.
+    /// Only planned work: stops, drains, configurations, hangups.
     Planned,
-    /// Everything.
+    /// All faults.
     Any,
 }
 
 impl Kind {
-    /// Returns the kind of a seed: every third one is of planned work alone.
+    /// Returns the kind of a seed: every third seed has planned work alone.
     pub fn of_seed(seed: u64) -> Self {
         if seed.is_multiple_of(3) { Self::Planned } else { Self::Any }
     }
 }
 
-/// Returns suspensions of VMs beside the other faults of a run, which they leave as they are.
+/// Returns the suspensions of a run; they are drawn separately, so the other faults of the seed don't change.
 pub fn suspensions(seed: u64, vms: usize, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed.rotate_left(17));
     let count = length_ms * vms as u64 / SUSPENSION_PAUSE_MS;
@@ -121,8 +119,8 @@
     (0..count).map(step).collect()
 }
 
-/// Returns absences of the store from which it comes back older, beside the other faults of a run, which they leave as
-/// they are; every third one follows the one before at once.
+/// Returns the store rollbacks of a run; they are drawn separately, so the other faults of the seed don't change. About
+/// one in three starts shortly after the previous one ends.
 pub fn rollbacks(seed: u64, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed.rotate_left(29));
     let mut steps: Vec<Step> = Vec::new();
@@ -132,12 +130,12 @@
             _ => rng.u64(..length_ms),
         };
         let fault = Fault::ComeBackOlder { changes: rng.usize(1..=LOST_MAX) };
-        steps.push(Step { at_ms, lasts_ms: rng.u64(20..=ABSENCE_MAX_MS), vm: 0, fault });
+        steps.push(Step { at_ms, lasts_ms: rng.u64(20..=OUTAGE_MAX_MS), vm: 0, fault });
     }
     steps
 }
 
-/// Returns the faults of a run over `vms` VMs, in the order of their moments.
+/// Returns the faults of a run over `vms` VMs, ordered by their start.
 pub fn schedule(seed: u64, vms: usize, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let kind = Kind::of_seed(seed);
--- a/standin/src/soak/tests.rs
+++ b/standin/src/soak/tests.rs
@@ -1,4 +1,4 @@
-//! The soak's own decisions: its schedule, and what it takes for a broken promise.
+//! Tests of the fault schedule and of the checks of the guarantees.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use super::{Arrival, CallRecord, Fault, Kind, Seen, Versions, judge_calls, judge_repeats, schedule};
 
 #[test]
-fn a_seed_gives_the_same_schedule() {
+fn schedule_depends_on_seed_alone() {
     assert_eq!(schedule(7, 8, 20_000), schedule(7, 8, 20_000));
     assert_ne!(schedule(7, 8, 20_000), schedule(8, 8, 20_000));
 }
 
 #[test]
-fn seeds_bring_every_fault_and_planned_ones_nothing_else() {
+fn seeds_cover_every_fault_and_planned_seeds_only_planned() {
     let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..60 {
         for step in schedule(seed, 8, 20_000) {
@@ -35,18 +35,18 @@
 const DENIED: Seen = Seen::Answer { status: 404, own: false };
 
 #[test_case(false, &OWN, 1, false, None; "a call that ran once")]
-#[test_case(false, &OWN, 2, false, Some("work that may not repeat runs once"); "a doubled run")]
-#[test_case(true, &OWN, 2, false, None; "a repeated run of work that may repeat")]
+#[test_case(false, &OWN, 2, false, Some("a call that is not repeatable runs at most once"); "a second run")]
+#[test_case(true, &OWN, 2, false, None; "a second run of a repeatable call")]
 #[test_case(true, &OWN, 3, false, Some("a call runs on two servers at most"); "a third run")]
-#[test_case(false, &FOREIGN, 1, false, Some("an answer is whole and the call's own"); "another call's answer")]
-#[test_case(false, &REFUSED, 0, false, None; "a true refusal")]
-#[test_case(false, &REFUSED, 1, false, Some("what is refused has not run"); "an untrue refusal")]
-#[test_case(true, &DENIED, 0, false, Some("a proper call is not denied"); "a denied call")]
-#[test_case(true, &FAILED, 1, false, None; "a failure among faults")]
-#[test_case(true, &FAILED, 1, true, Some("planned work fails no call"); "a failure among planned work")]
+#[test_case(false, &FOREIGN, 1, false, Some("an answer is complete and belongs to its call"); "another call's answer")]
+#[test_case(false, &REFUSED, 0, false, None; "a refused call that did not run")]
+#[test_case(false, &REFUSED, 1, false, Some("a refused call has not run"); "a refused call that ran")]
+#[test_case(true, &DENIED, 0, false, Some("a valid call is not denied"); "a denied call")]
+#[test_case(true, &FAILED, 1, false, None; "a failure during faults")]
+#[test_case(true, &FAILED, 1, true, Some("planned work fails no call"); "a failure during planned work")]
 #[test_case(true, &Seen::Cut, 0, true, None; "a connection that closed before the call was read")]
-#[test_case(true, &Seen::Cut, 1, true, Some("planned work cuts nothing"); "a run that was cut off")]
-fn what_counts_as_a_breach(repeatable: bool, seen: &Seen, ran: u64, planned: bool, breach: Option<&str>) {
+#[test_case(true, &Seen::Cut, 1, true, Some("planned work cuts no connection"); "a connection that closed in a run")]
+fn call_check_reports_broken_guarantee(repeatable: bool, seen: &Seen, ran: u64, planned: bool, breach: Option<&str>) {
     let calls = [CallRecord { id: "a".to_owned(), began_ms: 0, repeatable, seen: seen.clone() }];
     let runs = BTreeMap::from([("a".to_owned(), ran)]);
     let breaches = judge_calls(&calls, &runs, planned);
@@ -54,8 +54,8 @@
 }
 
 #[test_case("a"; "a call")]
-#[test_case("a.0"; "a call of its run")]
-fn what_nobody_sent_may_not_run(id: &str) {
+#[test_case("a.0"; "a nested call")]
+fn run_without_a_sent_call_is_a_breach(id: &str) {
     let runs = BTreeMap::from([(id.to_owned(), 1)]);
     assert_eq!(judge_calls(&[], &runs, false).len(), 1);
     let sent = CallRecord { id: "a".to_owned(), began_ms: 0, repeatable: true, seen: OWN };
@@ -63,16 +63,16 @@
 }
 
 #[test]
-fn a_version_that_comes_back_is_a_breach() {
+fn older_version_after_a_newer_one_is_a_breach() {
     let mut versions = Versions::default();
     assert_eq!(versions.seen("vm-0", 3, true), None);
     assert_eq!(versions.seen("vm-0", 2, false), None);
     assert!(versions.seen("vm-0", 2, true).is_some());
 }
 
-#[test_case(7, None; "as many as are allowed")]
+#[test_case(7, None; "as many as allowed")]
 #[test_case(8, Some("from 1000 ms: 8 for 10 calls, allowed 7"); "one more")]
-fn repeats_are_counted_in_every_window(repeats: u64, breach: Option<&str>) {
+fn retries_are_counted_in_every_window(repeats: u64, breach: Option<&str>) {
     let promise = RepeatPromise { percent: 20, reserve: 5, window_us: 3_000_000 };
     let began_ms: Vec<u64> = (0..10).map(|number| number * 100).collect();
     let first = (0..10).map(|number| (number * 100, number));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_calls_of_a_repeated_run_are_repeats() {
+fn nested_calls_of_a_retry_count_as_retries() {
     let promise = RepeatPromise { percent: 0, reserve: 1, window_us: 3_000_000 };
     let arrivals = ["a.0", "a.1", "a.0", "a.1"].map(|id| Arrival { at_ms: 0, id: id.to_owned() });
     assert!(judge_repeats("ledger", arrivals.to_vec(), &[], promise).is_some());
