--- a/standin/src/managed/mod.rs
+++ b/standin/src/managed/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the users' managed platform, by its published protocol: its store and its servers, and the
+//! Stand-ins of the users' managed platform, according to its published protocol: its store, its servers, and the
 //! command line of nodes on them.
 
 pub mod node;
--- a/standin/src/managed/node.rs
+++ b/standin/src/managed/node.rs
@@ -1,41 +1,41 @@
-//! The command line of a real node on the stand-ins.
+//! The command line of a real node that runs against the stand-ins.
 
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// Time limit of a node's calls to the store, in milliseconds: many times what the stand-in takes.
+/// Time limit of a node's calls to the store: many times the response time of the stand-in.
 const STORE_TIMEOUT_MS: &str = "500";
-/// How long a node's entry outlives its last word, in milliseconds: short, so that short runs see it lapse.
+/// Lifetime of a node's entry after the last renewal: short, so that it expires within a short run.
 const LEASE_MS: &str = "1500";
-/// The failure domains, by turns.
+/// The failure domains, assigned to the VMs in turn.
 const DOMAINS: [&str; 2] = ["kranj", "loka"];
 
-/// Where a node is and what it stands beside.
+/// Identity of a node and the addresses around it.
 #[derive(Debug, Clone)]
 pub struct NodeLine<'a> {
-    /// Name of its VM.
+    /// Name of the node's VM.
     pub vm: &'a str,
-    /// Number of its VM, which decides on its failure domain.
+    /// Number of the VM, which determines its failure domain.
     pub at: usize,
-    /// The service of its upstream.
+    /// Service of the node's upstream.
     pub service: &'a str,
-    /// Address of its upstream.
+    /// Address of the upstream.
     pub upstream_addr: SocketAddr,
-    /// Where its callers come.
+    /// Address of the caller listener.
     pub caller_addr: SocketAddr,
-    /// Where it tells whether it is ready.
+    /// Address of the readiness endpoint.
     pub ready_addr: SocketAddr,
-    /// Where its upstream announces itself.
+    /// Address at which the upstream announces itself.
     pub control_addr: SocketAddr,
-    /// Where it listens for links.
+    /// Address of the link listener.
     pub link_addr: SocketAddr,
     /// Address of the store.
     pub store_addr: SocketAddr,
 }
 
 impl NodeLine<'_> {
-    /// Makes the command that starts the node, with further flags; it reads and writes nothing.
+    /// Builds the command that starts the node, with additional flags; its standard streams are null.
     pub fn command(&self, program: &Path, further: Vec<(&str, String)>) -> Command {
         let flags = [
             ("platform", "managed".to_owned()),
--- a/standin/src/managed/server.rs
+++ b/standin/src/managed/server.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a server on the managed platform: heartbeats to the node beside it, its own id and
-//! stamp on answers, its load, and faults by command.
+//! Stand-in of a server on the managed platform: it sends heartbeats to the node beside it, puts its id, stamp and load
+//! on answers, and has faults injected by method calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,97 +18,97 @@
 use crate::client::Client;
 use crate::web::{self, Answer, answer};
 
-/// Time after the acknowledgement that the server drains in which work may still come, in
-/// milliseconds: the platform's `drainTimeout` of the small sites.
+/// Time after the acknowledgement of a drain in which work may still arrive: the platform's `drainTimeout` of the small
+/// sites.
 const DRAIN_MS: u64 = 2_000;
-/// Pause between two heartbeats, in milliseconds.
+/// Pause between two heartbeats.
 const HEARTBEAT_MS: u64 = 200;
-/// Pause before a port that is still taken is listened on again, in milliseconds.
+/// Pause before another attempt to bind a port that is still in use.
 const REBIND_MS: u64 = 5;
 
 /// How a server spoils its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Spoil {
-    /// Not at all.
+    /// Answers are correct.
     Nothing,
-    /// The answer carries the id of another request.
+    /// The answer has the id of another request.
     OtherId,
-    /// The answer says that its body is encoded.
+    /// The answer claims that its body is encoded.
     Encoded,
-    /// A success without the server's stamp.
+    /// The answer is a success without the server's stamp.
     NoStamp,
     /// The connection closes without an answer.
     Close,
-    /// The request is not run, and the answer says so.
+    /// The request isn't run, and the answer states this.
     Reject,
 }
 
-/// What tells one start of a server from the others, and where it stands.
+/// Identity of one incarnation of the server, and its heartbeat counter.
 #[derive(Debug, Clone, Copy)]
-struct Life {
-    /// Ids before this one; starts under the same id share it.
+struct Incarnation {
+    /// Number of earlier ids; incarnations under the same id share it.
     generation: u64,
-    /// When it began, in milliseconds since 1970.
+    /// Start time of the incarnation, in milliseconds since 1970.
     born_ms: u64,
-    /// Heartbeats so far.
+    /// Number of heartbeats so far.
     sequence: u64,
 }
 
-impl Life {
-    /// Begins a life that is not the first one.
+impl Incarnation {
+    /// Returns an incarnation that follows an earlier one.
     fn after(earlier: Self, generation: u64) -> Self {
         Self { generation, born_ms: wall_ms().max(earlier.born_ms + 1), sequence: 0 }
     }
 }
 
-/// Requests that crash the server, and for how long it is down then.
+/// Requests that crash the server, and the downtime after the crash.
 #[derive(Debug, Clone)]
 struct Deadly {
     path: String,
     down: Duration,
 }
 
-/// A server with all its starts.
+/// A server across all its incarnations.
 pub struct ManagedServer {
-    /// Its id at its first start.
+    /// Id of the first incarnation.
     id: String,
-    life: Mutex<Life>,
-    /// Until when it is cold.
+    incarnation: Mutex<Incarnation>,
+    /// End of the cold phase.
     cold_until: Mutex<Option<Instant>>,
-    /// When each request that it took while it was cold arrived.
+    /// Arrival times of the requests that arrived while the server was cold.
     cold_arrivals: Mutex<Vec<Instant>>,
-    /// When a node acknowledged that the server drains.
+    /// Time at which a node acknowledged that the server is draining.
     drain_acknowledged: Mutex<Option<Instant>>,
     late_arrivals: AtomicU64,
     service: String,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
     slots: usize,
     work_ms: AtomicU64,
     running: AtomicUsize,
     draining: AtomicBool,
     spoil: Mutex<Spoil>,
-    /// How often each request id ran.
+    /// Number of runs by request id.
     runs: Mutex<BTreeMap<String, u64>>,
-    /// Where runs make a call of their own, its path, and how many.
+    /// Nested calls of each run: the address they are sent to, their path and their number.
     calls: Mutex<Option<(SocketAddr, String, usize)>>,
-    /// When each request arrived, whatever became of it, with its id.
+    /// Arrival time and id of each request, whatever its outcome.
     arrivals: Mutex<Vec<(Instant, String)>>,
-    /// What came with the last request.
+    /// Headers of the last request.
     seen: Mutex<BTreeMap<String, String>>,
     acknowledged: AtomicU64,
     abandoned: AtomicU64,
     rejected: AtomicU64,
     deadly: Mutex<Option<Deadly>>,
-    /// When each run of a request began that crashes the server.
+    /// Start times of the runs that crash the server.
     deadly_runs: Mutex<Vec<Instant>>,
-    /// The listener with its connections.
+    /// Task of the listener and its connections.
     listening: Mutex<Option<AbortHandle>>,
-    /// Version of its software, as it announces it.
+    /// Software version that the server announces.
     version: Mutex<String>,
-    /// Of how many runs one fails; zero for none.
+    /// One in this many runs fails; zero means none.
     one_fails_in: AtomicU64,
-    /// Whether it has crashed and is not back yet.
+    /// Whether the server has crashed and has not restarted yet.
     down: AtomicBool,
     crashes: AtomicU64,
 }
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the address could not be listened on.
+    /// Returns an error if the address can't be bound.
     pub async fn start(
         id: &str,
         service: &str,
@@ -129,7 +129,7 @@
         let listener = TcpListener::bind(addr).await?;
         let server = Arc::new(Self {
             id: id.to_owned(),
-            life: Mutex::new(Life { generation: 0, born_ms: wall_ms(), sequence: 0 }),
+            incarnation: Mutex::new(Incarnation { generation: 0, born_ms: wall_ms(), sequence: 0 }),
             cold_until: Mutex::default(),
             cold_arrivals: Mutex::default(),
             drain_acknowledged: Mutex::new(None),
@@ -168,34 +168,34 @@
         *self.listening.lock().unwrap_or_else(PoisonError::into_inner) = Some(serving);
     }
 
-    /// Has requests for a path crash the server from now on; it is then down for this long.
+    /// Makes requests for a path crash the server from now on, with this downtime.
     pub fn set_deadly(&self, path: &str, down: Duration) {
         let deadly = Deadly { path: path.to_owned(), down };
         *self.deadly.lock().unwrap_or_else(PoisonError::into_inner) = Some(deadly);
     }
 
-    /// Repairs the server: no request crashes it any more.
+    /// Repairs the server: requests no longer crash it.
     pub fn repair(&self) {
         *self.deadly.lock().unwrap_or_else(PoisonError::into_inner) = None;
     }
 
-    /// Returns for how long a request for a path takes the server down, if it does.
+    /// Returns the downtime after a request for a path, if such a request crashes the server.
     fn deadly_down(&self, path: &str) -> Option<Duration> {
         let deadly = self.deadly.lock().unwrap_or_else(PoisonError::into_inner);
         deadly.as_ref().filter(|deadly| deadly.path == path).map(|deadly| deadly.down)
     }
 
-    /// Returns when each run of a request began that crashed the server.
+    /// Returns the start times of the runs that crash the server.
     pub fn deadly_runs(&self) -> Vec<Instant> {
         self.deadly_runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns how often the server has crashed.
+    /// Returns the number of crashes.
     pub fn crashes(&self) -> u64 {
         self.crashes.load(Ordering::Relaxed)
     }
 
-    /// Crashes: all connections and the port close at once, and it is back under another id after `down`.
+    /// Crashes the server: all connections and the port close at once, and it restarts under another id after `down`.
     pub fn crash(self: &Arc<Self>, down: Duration) {
         if self.down.swap(true, Ordering::Relaxed) {
             return;
@@ -204,10 +204,10 @@
         if let Some(listening) = self.listening.lock().unwrap_or_else(PoisonError::into_inner).take() {
             listening.abort();
         }
-        tokio::spawn(self.clone().come_back(down));
+        tokio::spawn(self.clone().restart_after(down));
     }
 
-    async fn come_back(self: Arc<Self>, down: Duration) {
+    async fn restart_after(self: Arc<Self>, down: Duration) {
         tokio::time::sleep(down).await;
         let listener = loop {
             match TcpListener::bind(self.addr).await {
@@ -220,12 +220,12 @@
         self.serve(listener);
     }
 
-    /// Sets the version that it announces.
+    /// Sets the software version that the server announces.
     pub fn set_version(&self, version: &str) {
         *self.version.lock().unwrap_or_else(PoisonError::into_inner) = version.to_owned();
     }
 
-    /// Lets one of so many runs fail from now on.
+    /// Makes one in `one_in` runs fail from now on; zero means none.
     pub fn set_failing(&self, one_in: u64) {
         self.one_fails_in.store(one_in, Ordering::Relaxed);
     }
@@ -237,19 +237,19 @@
         one_in > 0 && runs.is_multiple_of(one_in)
     }
 
-    /// Sets how long each request takes, in milliseconds.
+    /// Sets the duration of each run.
     pub fn set_work_ms(&self, work_ms: u64) {
         self.work_ms.store(work_ms, Ordering::Relaxed);
     }
 
-    /// Lets each run make `count` calls of its own to `path` through a node's listener for callers.
+    /// Makes each run send `count` nested calls for `path` to the caller listener of a node.
     pub fn set_calls(&self, node: SocketAddr, path: &str, count: usize) {
         let calls = Some((node, path.to_owned(), count));
         *self.calls.lock().unwrap_or_else(PoisonError::into_inner) = calls;
     }
 
-    /// Makes the calls of one run, one after the other.
-    async fn call_others(&self, id: &str) {
+    /// Makes the nested calls of one run, one after the other.
+    async fn make_nested_calls(&self, id: &str) {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let Some((node, path, count)) = calls else {
             return;
@@ -257,63 +257,63 @@
         for number in 0..count {
             let id = format!("{id}.{number}");
             let headers = [("host", "farm.example"), ("x-request-id", &*id), ("x-deadline-milliseconds", "1000")];
-            // A run goes on without what it could not learn.
+            // A failed nested call doesn't end the run.
             let _ = Client::new(node).call("GET", &path, &headers, String::new()).await;
         }
     }
 
-    /// Says from now on that the server is draining.
+    /// Announces from now on that the server is draining.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Returns the id of the present start.
+    /// Returns the id of the current incarnation.
     pub fn id(&self) -> String {
-        self.id_of(*self.life())
+        self.id_of(*self.incarnation())
     }
 
-    fn id_of(&self, life: Life) -> String {
-        match life.generation {
+    fn id_of(&self, incarnation: Incarnation) -> String {
+        match incarnation.generation {
             0 => self.id.clone(),
             generation => format!("{}-{generation}", self.id),
         }
     }
 
-    fn life(&self) -> MutexGuard<'_, Life> {
-        self.life.lock().unwrap_or_else(PoisonError::into_inner)
+    fn incarnation(&self) -> MutexGuard<'_, Incarnation> {
+        self.incarnation.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ends and starts again under another id; what still runs ends well.
+    /// Restarts the server under another id; runs in progress complete.
     pub fn start_again(&self) {
-        let generation = self.life().generation + 1;
-        self.begin_life(generation);
+        let generation = self.incarnation().generation + 1;
+        self.begin_incarnation(generation);
     }
 
-    /// Crashes and starts again under the id that it had, knowing nothing of before.
+    /// Restarts the server under the same id, as after a crash that lost its state.
     pub fn reborn(&self) {
-        let generation = self.life().generation;
-        self.begin_life(generation);
+        let generation = self.incarnation().generation;
+        self.begin_incarnation(generation);
     }
 
-    fn begin_life(&self, generation: u64) {
+    fn begin_incarnation(&self, generation: u64) {
         *self.acknowledged_drain() = None;
-        let mut life = self.life();
-        *life = Life::after(*life, generation);
+        let mut incarnation = self.incarnation();
+        *incarnation = Incarnation::after(*incarnation, generation);
         self.draining.store(false, Ordering::Relaxed);
     }
 
-    /// Turns cold for this long from now on.
+    /// Makes the server cold for this long from now on.
     pub fn turn_cold(&self, cold: Duration) {
         *self.cold_until.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now() + cold);
     }
 
-    /// Returns how much longer the server is cold.
+    /// Returns the remaining time for which the server is cold.
     fn cold_left(&self) -> Duration {
         let until = *self.cold_until.lock().unwrap_or_else(PoisonError::into_inner);
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(Instant::now()))
     }
 
-    /// Returns the most requests that arrived within one second while the server was cold.
+    /// Returns the maximum number of requests that arrived within one second while the server was cold.
     pub fn most_while_cold(&self) -> usize {
         let arrivals = self.cold_arrivals.lock().unwrap_or_else(PoisonError::into_inner);
         let within = |first: &Instant| {
@@ -323,12 +323,12 @@
         arrivals.iter().map(within).max().unwrap_or(0)
     }
 
-    /// Returns whether the server says that it is draining.
+    /// Returns whether the server announces that it is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Returns how many requests came later than they may after a drain was acknowledged.
+    /// Returns the number of requests that arrived later than allowed after a drain was acknowledged.
     pub fn late_arrivals(&self) -> u64 {
         self.late_arrivals.load(Ordering::Relaxed)
     }
@@ -342,12 +342,12 @@
         *self.spoil.lock().unwrap_or_else(PoisonError::into_inner) = spoil;
     }
 
-    /// Returns how often each request id ran.
+    /// Returns the number of runs by request id.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns when each request arrived, whatever became of it, with its id.
+    /// Returns the arrival time and id of each request, whatever its outcome.
     pub fn arrivals(&self) -> Vec<(Instant, String)> {
         self.arrivals.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -357,17 +357,17 @@
         self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns how many heartbeats were acknowledged.
+    /// Returns the number of acknowledged heartbeats.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged.load(Ordering::Relaxed)
     }
 
-    /// Returns how many runs were given up because their connection closed.
+    /// Returns the number of runs that were abandoned because their connection closed.
     pub fn abandoned(&self) -> u64 {
         self.abandoned.load(Ordering::Relaxed)
     }
 
-    /// Returns how many requests were rejected.
+    /// Returns the number of rejected requests.
     pub fn rejected(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
@@ -378,18 +378,18 @@
                 tokio::time::sleep(Duration::from_millis(REBIND_MS)).await;
                 continue;
             }
-            let (life, draining) = {
-                let mut life = self.life();
-                life.sequence += 1;
-                (*life, self.is_draining())
+            let (incarnation, draining) = {
+                let mut incarnation = self.incarnation();
+                incarnation.sequence += 1;
+                (*incarnation, self.is_draining())
             };
-            let id = self.id_of(life);
+            let id = self.id_of(incarnation);
             let state = if draining { "draining" } else { "ready" };
             let version = self.version.lock().unwrap_or_else(PoisonError::into_inner).clone();
             let heartbeat = json!({
                 "service": self.service, "address": self.addr, "zone": "kranj", "version": version,
                 "slots": self.slots, "state": state, "cold_ms": self.cold_left().as_millis() as u64,
-                "sequence": life.sequence, "born": life.born_ms,
+                "sequence": incarnation.sequence, "born": incarnation.born_ms,
             });
             let path = format!("/api/instances/{}/heartbeat", id);
             let sent = Client::new(control).call("POST", &path, &[], heartbeat.to_string()).await;
@@ -408,7 +408,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Counts a run as given up unless it is told that it ended.
+/// A run in progress; counted as abandoned if it is dropped before `ended` is set.
 struct Run<'a> {
     server: &'a ManagedServer,
     ended: bool,
@@ -470,7 +470,7 @@
     if deadly_down.is_some() {
         server.deadly_runs.lock().map_err(|_| "poisoned")?.push(Instant::now());
     }
-    server.call_others(&id).await;
+    server.make_nested_calls(&id).await;
     tokio::time::sleep(Duration::from_millis(server.work_ms.load(Ordering::Relaxed))).await;
     if let Some(down) = deadly_down {
         server.crash(down);
--- a/standin/src/managed/store.rs
+++ b/standin/src/managed/store.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the managed platform's store: items, leases that run out, calls that wait for
-//! changes, history that goes, a return from an older copy, and faults by command.
+//! Stand-in of the managed platform's store: items, leases that expire, calls that wait for changes, a history that can
+//! be discarded, rollbacks to an older copy, and faults injected by method calls.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,35 +17,35 @@
 
 use crate::web::{self, Answer, answer};
 
-/// Pause between two looks at which leases have run out, in milliseconds.
+/// Pause between two checks for expired leases.
 const EXPIRY_MS: u64 = 20;
-/// Items of one page, few enough that small tests need several pages.
+/// Maximum number of items on one page: so few that small tests need several pages.
 const PAGE_ITEMS: usize = 4;
-/// Age up to which a read that allows it is answered from an earlier state, in milliseconds.
+/// Maximum age of the state that a read with `allow_stale` is answered from.
 const STALE_MS: u64 = 500;
-/// Price of a renewal and of a read that allows an earlier state, in tenths of a call.
-const CHEAP_TENTHS: u64 = 1;
-/// Price of any other call, in tenths.
+/// Price of a renewal and of a read with `allow_stale`, in tenths of a call.
+const DISCOUNTED_TENTHS: u64 = 1;
+/// Price of any other call, in tenths of a call.
 const CALL_TENTHS: u64 = 10;
-/// Most entries of one transaction, conditions and changes together.
+/// Maximum number of entries of one transaction, conditions and changes together.
 const ENTRIES_MAX: usize = 32;
-/// Copies that are kept, one a change: more than any test takes back.
+/// Number of copies kept, one for each change: more than any test rolls back.
 const COPIES_MAX: usize = 512;
-/// Header of all answers with how often the store has come back from an older copy.
+/// Header of all answers that contains the era.
 const ERA: &str = "store-era";
 
-/// How the store treats calls.
+/// How the store handles calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// Calls are answered.
     Up,
-    /// It turns every call away and does nothing.
+    /// Every call is refused without effect.
     Refusing,
-    /// It takes calls and says nothing; leases run on.
+    /// Calls are accepted and never answered; leases continue to run out.
     Silent,
-    /// Each call takes this long, in milliseconds.
+    /// Each call takes this many milliseconds longer.
     Slow(u64),
-    /// Writes take effect and get no answer.
+    /// Writes take effect, and their answers are lost.
     LosingAnswers,
 }
 
@@ -57,42 +57,42 @@
     lease: u64,
 }
 
-/// The items as they stood at some moment.
-struct Earlier {
+/// A snapshot of the items.
+struct Snapshot {
     taken: Instant,
     items: BTreeMap<String, Value>,
     revision: u64,
 }
 
-/// The store as it stood after a change, to come back from.
+/// Copy of the store after a change, for rollbacks.
 #[derive(Clone)]
 struct Copy {
     revision: u64,
     items: BTreeMap<String, Item>,
-    /// Times to live by lease.
+    /// Time to live by lease id.
     leases: BTreeMap<u64, Duration>,
     next_lease: u64,
 }
 
 struct State {
     mode: Mode,
-    /// How often it has come back from an older copy, and one.
+    /// Number of rollbacks so far, plus one.
     era: u64,
     copies: VecDeque<Copy>,
     revision: u64,
     items: BTreeMap<String, Item>,
-    /// Keys by the revision that changed them.
+    /// Changed keys with the revision of the change.
     history: Vec<(u64, String)>,
-    /// Revision up to which the history is gone.
-    forgotten: u64,
+    /// Revision up to which the history is discarded.
+    discarded_revision: u64,
     leases: BTreeMap<u64, (Instant, Duration)>,
     next_lease: u64,
     calls: u64,
-    /// What all calls cost, in tenths of a call.
+    /// Total price of all calls.
     price_tenths: u64,
-    /// An earlier state, for reads that allow one.
-    earlier: Option<Earlier>,
-    /// Calls that waited for changes or asked for them.
+    /// Snapshot for reads with `allow_stale`.
+    earlier: Option<Snapshot>,
+    /// Number of calls that waited for changes or requested them.
     changes_asked: u64,
 }
 
@@ -103,7 +103,7 @@
     changed: Arc<Notify>,
 }
 
-/// How the store treats the calls of one node, while it serves the others as usual.
+/// Handling of one node's calls, independent of the other nodes.
 #[derive(Clone)]
 pub struct NodeAccess {
     mode: Arc<Mutex<Mode>>,
@@ -111,7 +111,7 @@
 }
 
 impl NodeAccess {
-    /// Sets how calls are treated from now on; calls that wait are cut where the node is turned away.
+    /// Sets how the node's calls are handled from now on; waiting calls are cut if the store becomes unavailable to it.
     pub fn set(&self, mode: Mode) {
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner) = mode;
         self.changed.notify_waiters();
@@ -131,7 +131,7 @@
             revision: 1,
             items: BTreeMap::new(),
             history: Vec::new(),
-            forgotten: 0,
+            discarded_revision: 0,
             leases: BTreeMap::new(),
             next_lease: 100,
             calls: 0,
@@ -148,29 +148,29 @@
     ///
     /// # Errors
     ///
-    /// Returns why no port could be had.
+    /// Returns an error if no port can be bound.
     pub async fn start(&self) -> std::io::Result<SocketAddr> {
         tokio::spawn(self.clone().expire());
         let (addr, _) = self.serve_node().await?;
         Ok(addr)
     }
 
-    /// Serves one node on a port of its own until the runtime ends; returns its address, and how it is treated.
+    /// Serves one node on a port of its own until the runtime ends; returns the address and the handling of its calls.
     ///
     /// # Errors
     ///
-    /// Returns why no port could be had.
+    /// Returns an error if no port can be bound.
     pub async fn serve_node(&self) -> std::io::Result<(SocketAddr, NodeAccess)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let access = NodeAccess { mode: Arc::new(Mutex::new(Mode::Up)), changed: self.changed.clone() };
-        let (store, treated) = (self.clone(), access.clone());
-        let handle = move |request| store.clone().handle(request, treated.clone());
+        let (store, node_access) = (self.clone(), access.clone());
+        let handle = move |request| store.clone().handle(request, node_access.clone());
         tokio::spawn(web::serve_on(listener, Duration::ZERO, handle));
         Ok((addr, access))
     }
 
-    /// Sets how calls are treated from now on; calls that wait are cut when the store goes away.
+    /// Sets how calls are handled from now on; calls that wait are cut if the store becomes unavailable.
     pub fn set_mode(&self, mode: Mode) {
         self.lock().mode = mode;
         self.changed.notify_waiters();
@@ -183,7 +183,7 @@
         revision
     }
 
-    /// Takes away every item below a prefix, leases or not.
+    /// Removes all items below a prefix, with or without leases.
     pub fn revoke(&self, prefix: &str) {
         let mut state = self.lock();
         let keys: Vec<String> = state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect();
@@ -194,7 +194,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Lets every lease run out at once.
+    /// Makes every lease expire at once.
     pub fn lapse(&self) {
         let mut state = self.lock();
         let leases: Vec<u64> = state.leases.keys().copied().collect();
@@ -205,17 +205,17 @@
         self.changed.notify_waiters();
     }
 
-    /// Forgets which changes led to the present.
+    /// Discards the history of changes.
     pub fn compact(&self) {
         let mut state = self.lock();
-        state.forgotten = state.revision;
+        state.discarded_revision = state.revision;
         state.history.clear();
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Comes back from the copy that is `changes` changes old, or the oldest one that is kept: what was written
-    /// and granted since is gone, and revisions and lease ids are given out again.
+    /// Restores the copy that is `changes` changes old, or the oldest one kept: later writes and leases are lost, and
+    /// their revisions and lease ids are assigned again.
     pub fn roll_back(&self, changes: usize) {
         let mut state = self.lock();
         let kept = state.copies.len().saturating_sub(changes).max(1);
@@ -232,7 +232,7 @@
         self.lock().revision
     }
 
-    /// Returns the value of a key as text, if it exists.
+    /// Returns the value of a key as text, if the key exists.
     pub fn text(&self, key: &str) -> Option<String> {
         let value = self.lock().items.get(key).map(|item| item.value.clone())?;
         let bytes = STANDARD.decode(value).unwrap_or_default();
@@ -244,17 +244,17 @@
         self.lock().items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Returns how many calls came so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
 
-    /// Returns what they cost, in calls.
+    /// Returns the total price of the calls so far, in calls.
     pub fn price(&self) -> f64 {
         self.lock().price_tenths as f64 / CALL_TENTHS as f64
     }
 
-    /// Returns how many of them asked for changes.
+    /// Returns the number of calls so far that requested changes.
     pub fn changes_asked(&self) -> u64 {
         self.lock().changes_asked
     }
@@ -268,12 +268,12 @@
             tokio::time::sleep(Duration::from_millis(EXPIRY_MS)).await;
             let mut state = self.lock();
             let now = Instant::now();
-            let over: Vec<u64> =
+            let expired: Vec<u64> =
                 state.leases.iter().filter(|(_, (until, _))| *until <= now).map(|(id, _)| *id).collect();
-            if over.is_empty() {
+            if expired.is_empty() {
                 continue;
             }
-            for lease in over {
+            for lease in expired {
                 state.end_lease(lease);
             }
             drop(state);
@@ -296,8 +296,8 @@
         let mode = {
             let mut state = self.lock();
             state.calls += 1;
-            let cheap = path.starts_with("/api/kv-keep/") || query.contains_key("allow_stale");
-            state.price_tenths += if cheap { CHEAP_TENTHS } else { CALL_TENTHS };
+            let is_discounted = path.starts_with("/api/kv-keep/") || query.contains_key("allow_stale");
+            state.price_tenths += if is_discounted { DISCOUNTED_TENTHS } else { CALL_TENTHS };
             state.changes_asked += u64::from(path == "/api/kv-watch");
             if access.get() == Mode::Up { state.mode } else { access.get() }
         };
@@ -327,12 +327,12 @@
             let changed = self.changed.notified();
             {
                 let state = self.lock();
-                let gone = |mode: Mode| matches!(mode, Mode::Refusing | Mode::Silent);
-                if gone(state.mode) || gone(access.get()) {
-                    // A call that waits is cut when the store goes away.
+                let unavailable = |mode: Mode| matches!(mode, Mode::Refusing | Mode::Silent);
+                if unavailable(state.mode) || unavailable(access.get()) {
+                    // Calls that wait are cut when the store becomes unavailable.
                     return Err("cut".into());
                 }
-                if after < state.forgotten || after > state.revision {
+                if after < state.discarded_revision || after > state.revision {
                     return Ok(answer(410, "{}"));
                 }
                 let events = state.events(&prefix, after);
@@ -341,7 +341,7 @@
                     return Ok(answer(200, reply.to_string()));
                 }
             }
-            // Either something changed or the wait is over; the state tells which.
+            // Either a change or the time limit ends the wait; the loop checks the state for both.
             let _ = tokio::time::timeout_at(until, changed).await;
         }
     }
@@ -353,9 +353,9 @@
             (&Method::GET, "/api/kv-range") => (200, self.range(query)),
             (&Method::POST, "/api/kv-txn") => self.transact(body),
             (&Method::POST, "/api/kv-lease") => (200, self.grant(body)),
-            (&Method::POST, path) if path.starts_with("/api/kv-keep/") => self.keep(number_behind(path)),
+            (&Method::POST, path) if path.starts_with("/api/kv-keep/") => self.keep(last_segment_number(path)),
             (&Method::DELETE, path) if path.starts_with("/api/kv-lease-end/") => {
-                self.end_lease(number_behind(path));
+                self.end_lease(last_segment_number(path));
                 (200, json!({}))
             }
             _ => (404, json!({})),
@@ -389,7 +389,7 @@
         self.leases = copy.leases.into_iter().map(|(id, ttl)| (id, (now + ttl, ttl))).collect();
         self.next_lease = copy.next_lease;
         self.history.retain(|(revision, _)| *revision <= copy.revision);
-        self.forgotten = self.forgotten.min(copy.revision);
+        self.discarded_revision = self.discarded_revision.min(copy.revision);
         self.earlier = None;
     }
 
@@ -422,7 +422,7 @@
         let fits = |(revision, key): &&(u64, String)| *revision > after && key.starts_with(prefix);
         let event = |(revision, key): &(u64, String)| match self.items.get(key) {
             Some(item) if item.revision == *revision => self.item(key),
-            // An earlier write of a key that was written again: the later event tells it.
+            // An earlier write of a key that was written again: the later event supersedes it.
             Some(_) => None,
             None => Some(json!({ "key": key, "revision": revision, "deleted": true })),
         };
@@ -443,15 +443,15 @@
         json!({ "items": items, "has_more": has_more, "at_revision": state.revision })
     }
 
-    fn present(&self) -> Earlier {
+    fn present(&self) -> Snapshot {
         let items = self.items.keys().filter_map(|key| Some((key.clone(), self.item(key)?))).collect();
-        Earlier { taken: Instant::now(), items, revision: self.revision }
+        Snapshot { taken: Instant::now(), items, revision: self.revision }
     }
 
-    /// Returns a state that is no older than [`STALE_MS`].
-    fn earlier(&mut self) -> &Earlier {
-        let known = self.earlier.take();
-        let kept = known.filter(|earlier| earlier.taken.elapsed() < Duration::from_millis(STALE_MS));
+    /// Returns a snapshot that is no older than [`STALE_MS`].
+    fn earlier(&mut self) -> &Snapshot {
+        let previous = self.earlier.take();
+        let kept = previous.filter(|earlier| earlier.taken.elapsed() < Duration::from_millis(STALE_MS));
         let state = kept.unwrap_or_else(|| self.present());
         self.earlier.insert(state)
     }
@@ -503,6 +503,6 @@
     }
 }
 
-fn number_behind(path: &str) -> u64 {
+fn last_segment_number(path: &str) -> u64 {
     path.rsplit('/').next().and_then(|text| text.parse().ok()).unwrap_or(0)
 }
