--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -10,32 +10,32 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// Returns a header as text, or nothing.
+    /// Returns the value of a header, or an empty text if it is missing or not ASCII.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
     }
 }
 
-/// A client of one address that keeps its connections.
+/// A client of one address, which reuses its connections.
 pub struct Client {
     addr: SocketAddr,
     idle: Mutex<Vec<SendRequest<Full<Bytes>>>>,
 }
 
 impl Client {
-    /// Makes a client; it connects when it is first used.
+    /// Returns a client, which connects on its first call.
     pub fn new(addr: SocketAddr) -> Self {
         Self { addr, idle: Mutex::new(Vec::new()) }
     }
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// Returns, in words, why no whole answer came.
+    /// Returns an error text if no complete answer arrives.
     pub async fn call(
         &self,
         method: &str,
--- a/standin/src/event_queue.rs
+++ b/standin/src/event_queue.rs
@@ -1,8 +1,8 @@
-//! What happens next in a world of virtual time.
+//! The event queue of a simulation in virtual time.
 
 use std::collections::BTreeMap;
 
-/// Events by their moments; those of one moment come in the order in which they were put in.
+/// Events ordered by time; events at the same time keep the order in which they were scheduled.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     events: BTreeMap<(u64, u64), E>,
@@ -16,13 +16,13 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Puts in an event that happens at a moment, in microseconds.
+    /// Schedules an event.
     pub fn schedule(&mut self, at_us: u64, event: E) {
         self.events.insert((at_us, self.next_id), event);
         self.next_id += 1;
     }
 
-    /// Takes out the next event with its moment, in microseconds.
+    /// Removes the next event and returns it with its time in microseconds.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         let ((at_us, _), event) = self.events.pop_first()?;
         Some((at_us, event))
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform and of servers, with the load and experiment tool; not shipped.
+//! Stand-ins of the platform and of servers, with the load and experiment tools; none of it is shipped.
 
 pub mod bench;
 pub mod client;
--- a/standin/src/list.rs
+++ b/standin/src/list.rs
@@ -1,6 +1,6 @@
-//! Stand-in of the platform's VM list; it can lag.
+//! Stand-in of the platform's VM list, which can lag.
 //!
-//! `GET /vms` reads, `PUT /vms` replaces all rows, `POST /_fault?lag_ms=N` makes it lag.
+//! `GET /vms` returns the rows, `PUT /vms` replaces all rows, `POST /_fault?lag_ms=N` sets the lag.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,19 +13,19 @@
 
 use crate::web::{self, Answer, answer};
 
-/// Old lists that are kept.
-const KEPT: usize = 1_000;
+/// Number of lists kept, including the current one.
+const LISTS_MAX: usize = 1_000;
 
 struct Rows {
     lag: Duration,
     history: Vec<(Instant, Bytes)>,
 }
 
-/// Serves the list.
+/// Serves the list until the process ends.
 ///
 /// # Errors
 ///
-/// Returns why the address could not be listened on.
+/// Returns an error if the address can't be bound.
 pub async fn run(addr: SocketAddr) -> std::io::Result<()> {
     let rows = Rows { lag: Duration::ZERO, history: vec![(Instant::now(), Bytes::from_static(b"[]"))] };
     let rows = Arc::new(Mutex::new(rows));
@@ -46,7 +46,7 @@
         }
         ("PUT", "/vms") => {
             rows.history.push((Instant::now(), body));
-            if rows.history.len() > KEPT {
+            if rows.history.len() > LISTS_MAX {
                 rows.history.remove(0);
             }
             Ok(answer(200, ""))
--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! The load tool: an open loop, whose arrivals do not wait for answers.
+//! The load tool: an open-loop generator, whose arrivals don't wait for answers.
 //!
-//! Latency counts from the moment at which a call was due, so a pause of the tool or of the
-//! system under test is not left out.
+//! Latency is measured from the time at which a call was due, so it includes pauses of the tool and of the system under
+//! test.
 
 mod plot;
 
@@ -19,33 +19,33 @@
 
 pub use plot::{Series, quantiles, write as write_plot};
 
-/// Highest latency that is told apart, in microseconds.
+/// Highest latency that the histogram records; longer ones are counted as this.
 const LATENCY_MAX_US: u64 = 60_000_000;
-/// Twice the step of the runtime's timer.
+/// Two steps of the runtime's timer.
 const TIMER_STEP: Duration = Duration::from_millis(2);
-/// Most calls under way; further ones count as failed rather than pile up without end.
-const UNDER_WAY_MAX: usize = 20_000;
+/// Maximum number of calls in flight; further calls are counted as failed, so that they don't accumulate without bound.
+const IN_FLIGHT_MAX: usize = 20_000;
 
 /// Settings of one run.
 #[derive(Debug, Clone)]
 pub struct LoadSettings {
-    /// Doors, used in turn.
-    pub doors: Vec<SocketAddr>,
-    /// Whether the doors are servers themselves, for comparison.
+    /// Addresses of the caller listeners, used in turn.
+    pub caller_addrs: Vec<SocketAddr>,
+    /// Whether the addresses are those of servers, without nodes, for comparison.
     pub direct: bool,
     /// The service that is called.
     pub service: String,
     /// Path of the calls.
     pub path: String,
-    /// Calls a second.
+    /// Arrival rate.
     pub rate_per_s: u64,
-    /// Length, in seconds.
+    /// Length of the run.
     pub seconds: u64,
-    /// Calls that are writes with a key, in hundredths.
+    /// Share of the calls that are writes with an idempotency key.
     pub keyed_percent: u64,
-    /// Seed of arrivals and keys.
+    /// Seed of the arrival times and of the choice of keyed calls.
     pub seed: u64,
-    /// Where the plot goes.
+    /// File that the plot is written to.
     pub plot: Option<PathBuf>,
     /// Whether the result is printed as JSON.
     pub json: bool,
@@ -53,14 +53,14 @@
     pub name: String,
 }
 
-/// What one run has shown.
+/// Results of one run.
 #[derive(Debug)]
 pub struct Tally {
-    /// Latencies of whole answers, in microseconds.
+    /// Latencies of the answers with status 200.
     pub latency_us: Histogram<u64>,
-    /// Answers by outcome and status.
+    /// Number of calls by status, code and outcome.
     pub outcomes: BTreeMap<String, u64>,
-    /// Answers that were not to the own call.
+    /// Number of answers with another call's body.
     pub wrong: u64,
 }
 
@@ -75,13 +75,13 @@
     }
 }
 
-/// Runs a load and prints what it has shown.
+/// Runs a load and prints the results.
 ///
 /// # Errors
 ///
-/// Returns why it could not run.
+/// Returns an error text if no address is given or the plot can't be written.
 pub async fn run(settings: LoadSettings) -> Result<(), String> {
-    if settings.doors.is_empty() {
+    if settings.caller_addrs.is_empty() {
         return Err("--door is missing".into());
     }
     let tally = drive(&settings).await;
@@ -93,13 +93,13 @@
     Ok(())
 }
 
-/// Runs a load.
+/// Runs a load and returns the results.
 ///
 /// # Panics
 ///
-/// Panics if a call's task does, which is a fault of this tool.
+/// Panics if the task of a call panics, which is a bug of this tool.
 pub async fn drive(settings: &LoadSettings) -> Tally {
-    let clients: Vec<Arc<Client>> = settings.doors.iter().map(|door| Arc::new(Client::new(*door))).collect();
+    let clients: Vec<Arc<Client>> = settings.caller_addrs.iter().map(|addr| Arc::new(Client::new(*addr))).collect();
     let tally = Arc::new(Mutex::new(Tally::new()));
     let mut rng = fastrand::Rng::with_seed(settings.seed);
     let start = Instant::now();
@@ -110,12 +110,12 @@
     let settings = Arc::new(settings.clone());
     while due < end {
         wait_until(due).await;
-        if calls.len() < UNDER_WAY_MAX {
+        if calls.len() < IN_FLIGHT_MAX {
             let client = clients[number as usize % clients.len()].clone();
             let keyed = rng.u64(0..100) < settings.keyed_percent;
-            calls.spawn(one(client, settings.clone(), number, keyed, due, tally.clone()));
+            calls.spawn(make_call(client, settings.clone(), number, keyed, due, tally.clone()));
         } else if let Ok(mut tally) = tally.lock() {
-            tally.count("too many under way".into());
+            tally.count("too many in flight".into());
         }
         while calls.try_join_next().is_some() {}
         number += 1;
@@ -127,8 +127,8 @@
     std::mem::replace(&mut *tally.lock().expect("no call has panicked"), Tally::new())
 }
 
-/// Waits to the microsecond: the runtime's timer knows milliseconds only, so the last two are
-/// spent asking the clock.
+/// Waits with microsecond precision: the runtime's timer has a resolution of one millisecond, so the last two
+/// milliseconds are spent polling the clock.
 async fn wait_until(due: Instant) {
     sleep_until(due - TIMER_STEP).await;
     while Instant::now() < due {
@@ -136,7 +136,7 @@
     }
 }
 
-async fn one(
+async fn make_call(
     client: Arc<Client>,
     settings: Arc<LoadSettings>,
     number: u64,
@@ -191,7 +191,7 @@
         quantile(0.999),
         tally.latency_us.max()
     );
-    println!("answers to another call: {}", tally.wrong);
+    println!("answers with another call's body: {}", tally.wrong);
     for (outcome, count) in &tally.outcomes {
         println!("  {count:>8}  {outcome}");
     }
--- a/standin/src/load/plot.rs
+++ b/standin/src/load/plot.rs
@@ -11,23 +11,23 @@
 /// One line of a plot.
 #[derive(Debug, Clone)]
 pub struct Series {
-    /// Its name.
+    /// Name of the line in the legend.
     pub name: String,
-    /// Points: nines of the quantile, and latency in milliseconds.
+    /// Points: number of nines of the quantile, and latency in milliseconds.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Returns latency by nines: 1 is p90, 2 is p99, 3 is p99.9.
+/// Returns the latency by number of nines: 1 is p90, 2 is p99, 3 is p99.9.
 pub fn quantiles(latency_us: &Histogram<u64>) -> Vec<(f64, f64)> {
     let steps = (0..=30).map(|step| f64::from(step) / 10.0);
     steps.map(|nines| (nines, latency_us.value_at_quantile(1.0 - 10f64.powf(-nines)) as f64 / 1000.0)).collect()
 }
 
-/// Writes a plot of latency by nines.
+/// Writes a plot of the latency by number of nines.
 ///
 /// # Errors
 ///
-/// Returns, in words, why the plot could not be drawn.
+/// Returns an error text if the plot can't be drawn or written.
 pub fn write(path: &Path, title: &str, series: &[Series]) -> Result<(), String> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(|error| error.to_string())?;
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -70,9 +70,9 @@
         text.parse().map_err(|_| format!("--{flag} must be IP:PORT"))
     }
 
-    fn doors(&self) -> Result<Vec<SocketAddr>, String> {
-        let doors = self.flags.iter().filter(|(name, _)| name == "door");
-        doors.map(|(_, text)| text.parse().map_err(|_| "--door must be IP:PORT".to_owned())).collect()
+    fn caller_addrs(&self) -> Result<Vec<SocketAddr>, String> {
+        let caller_addrs = self.flags.iter().filter(|(name, _)| name == "door");
+        caller_addrs.map(|(_, text)| text.parse().map_err(|_| "--door must be IP:PORT".to_owned())).collect()
     }
 }
 
@@ -127,7 +127,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|error| error.to_string())
 }
 
-/// Plays one seed after the other, each with a fleet of its own.
+/// Runs one seed after another, each with a fleet of its own.
 fn run_soak(args: &Args) -> Result<(), String> {
     let first = args.number("seed", 1)?;
     let mut broken = 0;
@@ -141,13 +141,13 @@
             rollbacks: args.get("rollbacks").is_some(),
             logs: std::path::Path::new(args.get("logs").unwrap_or("target/soak")).join(seed.to_string()),
         };
-        // The stand-ins of a seed end with its runtime, and give up their ports.
+        // Dropping the runtime ends the stand-ins of the seed and frees their ports.
         let report = new_runtime()?.block_on(soak::run(&settings))?;
         println!("seed={seed} faults={} breaches={} ends={:?}", report.faults, report.breaches.len(), report.ends);
         report.breaches.iter().for_each(|breach| println!("  seed={seed} {breach}"));
         broken += report.breaches.len();
     }
-    if broken == 0 { Ok(()) } else { Err(format!("{broken} promises broken; what the nodes wrote is in the logs")) }
+    if broken == 0 { Ok(()) } else { Err(format!("{broken} guarantees broken; see the nodes' log files")) }
 }
 
 fn server_settings(args: &Args) -> Result<ServerSettings, String> {
@@ -164,7 +164,7 @@
 
 fn load_settings(args: &Args) -> Result<LoadSettings, String> {
     Ok(LoadSettings {
-        doors: args.doors()?,
+        caller_addrs: args.caller_addrs()?,
         direct: args.get("direct").is_some(),
         service: args.get("service").unwrap_or("intake").to_owned(),
         path: args.get("path").unwrap_or("/sheet").to_owned(),
--- a/standin/src/relay.rs
+++ b/standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay of datagrams before a node's links, which can be cut in one direction or in both.
+//! A datagram relay before a node's links, which can be cut in one or both directions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,58 +8,58 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Mutex;
 
-/// Largest datagram, in bytes.
+/// Maximum size of a datagram.
 const DATAGRAM_MAX_BYTES: usize = 65_536;
 
-/// What of a relay is cut.
+/// The directions of a relay that are cut.
 #[derive(Debug, Default)]
 pub struct Cuts {
-    /// Datagrams towards the node are dropped.
+    /// Whether datagrams to the node are dropped.
     pub inbound: AtomicBool,
-    /// Datagrams from the node are dropped.
+    /// Whether datagrams from the node are dropped.
     pub outbound: AtomicBool,
 }
 
 impl Cuts {
-    /// Cuts or mends both directions.
+    /// Cuts or restores each direction.
     pub fn set(&self, inbound: bool, outbound: bool) {
         self.inbound.store(inbound, Ordering::Relaxed);
         self.outbound.store(outbound, Ordering::Relaxed);
     }
 }
 
-/// Starts a relay towards `node`; returns its address.
+/// Starts a relay to `node` and returns the address of the relay.
 ///
 /// # Errors
 ///
-/// Returns why no socket could be had.
+/// Returns an error if the socket can't be bound.
 pub async fn start(node: SocketAddr, cuts: Arc<Cuts>) -> std::io::Result<SocketAddr> {
-    let front = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
-    let addr = front.local_addr()?;
-    tokio::spawn(forward(front, node, cuts));
+    let caller_side = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
+    let addr = caller_side.local_addr()?;
+    tokio::spawn(forward(caller_side, node, cuts));
     Ok(addr)
 }
 
-async fn forward(front: Arc<UdpSocket>, node: SocketAddr, cuts: Arc<Cuts>) {
-    let backs: Arc<Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>> = Arc::default();
+async fn forward(caller_side: Arc<UdpSocket>, node: SocketAddr, cuts: Arc<Cuts>) {
+    let node_sockets: Arc<Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>> = Arc::default();
     let mut buffer = vec![0; DATAGRAM_MAX_BYTES];
     loop {
-        let Ok((length, from)) = front.recv_from(&mut buffer).await else {
+        let Ok((length, from)) = caller_side.recv_from(&mut buffer).await else {
             continue;
         };
         if cuts.inbound.load(Ordering::Relaxed) {
             continue;
         }
-        let mut known = backs.lock().await;
-        let back = match known.get(&from) {
+        let mut sockets = node_sockets.lock().await;
+        let back = match sockets.get(&from) {
             Some(back) => back.clone(),
             None => {
                 let Ok(back) = UdpSocket::bind("127.0.0.1:0").await else {
                     continue;
                 };
                 let back = Arc::new(back);
-                known.insert(from, back.clone());
-                tokio::spawn(backward(back.clone(), front.clone(), from, cuts.clone()));
+                sockets.insert(from, back.clone());
+                tokio::spawn(backward(back.clone(), caller_side.clone(), from, cuts.clone()));
                 back
             }
         };
@@ -67,14 +67,14 @@
     }
 }
 
-async fn backward(back: Arc<UdpSocket>, front: Arc<UdpSocket>, to: SocketAddr, cuts: Arc<Cuts>) {
+async fn backward(back: Arc<UdpSocket>, caller_side: Arc<UdpSocket>, to: SocketAddr, cuts: Arc<Cuts>) {
     let mut buffer = vec![0; DATAGRAM_MAX_BYTES];
     loop {
         let Ok((length, _)) = back.recv_from(&mut buffer).await else {
             continue;
         };
         if !cuts.outbound.load(Ordering::Relaxed) {
-            let _ = front.send_to(&buffer[..length], to).await;
+            let _ = caller_side.send_to(&buffer[..length], to).await;
         }
     }
 }
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -1,8 +1,10 @@
-//! Stand-in of a server: slots, service time, a noisy neighbour, faults by command.
+//! Stand-in of a server, with slots, a service time, a noisy neighbour and injected faults.
 //!
-//! Any path runs: it takes a slot, works for the service time and answers with the run's number
-//! and the body that came. `GET /_runs` tells how often each key ran, `GET /_stats` the most at
-//! once. `POST /_fault` with `stall_ms=N`, `slow_us=N` (added to every run), `fail=1` (answers
+//! Requests for all other paths are run: a run takes a slot, waits for the service time, and answers with its number
+//! and the request's body. `GET /_runs` returns the number of runs by key; `GET /_stats` returns the number of runs, in
+//! total, in progress, and at most at once. `POST /_fault` sets the faults: `stall_ms=N`, `slow_us=N` (added to every
+//! run), `fail=1` (answers 500 at once), `leaving=1` (announced on answers) and `mute=1` (never answers); faults
+//! that aren't given end.
 //! 500 at once), `leaving=1`, `mute=1` (runs and never answers) or nothing (well again).
 
 use std::collections::BTreeMap;
@@ -22,17 +24,17 @@
 /// Settings of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerSettings {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    /// Calls that it runs at once.
+    /// Number of calls that run at the same time.
     pub slots: usize,
-    /// Service time, in microseconds.
+    /// Mean service time of a run.
     pub service_us: u64,
-    /// Share of the service time that varies, in hundredths.
+    /// Maximum deviation of the service time from its mean.
     pub jitter_percent: u64,
-    /// Cost of a new connection, in microseconds.
+    /// Delay before the first request on a new connection.
     pub connect_us: u64,
-    /// Mean pause between two stalls by a noisy neighbour, in milliseconds; zero for none.
+    /// Mean pause between two stalls caused by a noisy neighbour; zero means no stalls.
     pub noise_every_ms: u64,
     /// Seed of random choices.
     pub seed: u64,
@@ -62,7 +64,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the address could not be listened on.
+/// Returns an error if the address can't be bound.
 pub async fn run(settings: ServerSettings) -> std::io::Result<()> {
     let server = Arc::new(Server {
         settings,
@@ -81,7 +83,7 @@
     web::serve(settings.addr, connect, move |request| handle(server.clone(), request)).await
 }
 
-/// Stalls the whole server for 1 to 50 ms now and then.
+/// Stalls the whole server at random times for 1 to 50 ms.
 async fn noise(server: Arc<Server>) {
     loop {
         let (pause_ms, stall_ms) = {
@@ -99,7 +101,7 @@
     }
 }
 
-/// Counts a run as over when it ends or its caller goes away.
+/// Counts a run in progress until it is dropped, because it ended or its caller closed the connection.
 struct Running<'a>(&'a Server);
 
 impl Drop for Running<'_> {
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -1,13 +1,13 @@
-//! Stand-in of the platform's store: the etcd v3 JSON gateway's range, put, txn, deleterange,
-//! lease and watch, kept in memory.
+//! Stand-in of the platform's store: the etcd v3 JSON gateway's range, put, txn, deleterange, lease and watch, kept in
+//! memory.
 //!
-//! `POST /_fault` with `down=1`, `slow_ms=N`, `lose=N` (the next N writes take effect and get no
-//! answer), `fail=N` (the next N writes neither take effect nor get an answer) or nothing (well
-//! again). `GET /_counts` tells the calls so far.
+//! `POST /_fault` sets the faults: `down=1`, `slow_ms=N`, `lose=N` (the next N writes take effect, and their answers
+//! are lost) and `fail=N` (the next N writes fail without effect or answer); faults that aren't given end.
+//! `GET /_counts` returns the number of calls so far.
 //!
-//! `POST /_copy` takes a copy of all that the store holds. `POST /_return?away_ms=N` has the store go away, with all its
-//! connections, and come back from that copy; `history=N` gives its history another name, `leases=0` brings no leases
-//! back, and `connections=kept` keeps connections that nobody uses meanwhile, as a proxy before the store may do.
+//! `POST /_copy` copies the whole contents of the store. `POST /_return?away_ms=N` makes the store unavailable, closes
+//! its connections, and restores that copy after N milliseconds; `history=N` changes the cluster id, `leases=0` drops
+//! all leases, and `connections=kept` keeps the connections open, as a proxy before the store may do with idle ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,9 +29,9 @@
 
 mod restore;
 
-/// Largest value, in bytes.
+/// Maximum size of a value.
 const VALUE_MAX_BYTES: usize = 1_048_576;
-/// Events kept for watches that start in the past.
+/// Number of events kept for watches that start in the past.
 const EVENTS_KEPT: usize = 10_000;
 
 #[derive(Clone)]
@@ -67,7 +67,7 @@
 
 #[derive(Default)]
 struct State {
-    /// Name of the history, and one, in the header of each answer.
+    /// Number of the history; the header of each answer contains it, plus one, as the cluster id.
     history: u64,
     copy: Option<Copy>,
     revision: u64,
@@ -82,11 +82,11 @@
 
 type Shared = Arc<Mutex<State>>;
 
-/// Serves the store.
+/// Serves the store until the process ends.
 ///
 /// # Errors
 ///
-/// Returns why the address could not be listened on.
+/// Returns an error if the address can't be bound.
 pub async fn run(addr: SocketAddr) -> std::io::Result<()> {
     let state = Shared::default();
     let restores = Arc::new(Notify::new());
@@ -99,7 +99,7 @@
         });
         tokio::select! {
             () = serving => {}
-            // All connections and the port close with what served them.
+            // Dropping the serving future closes the port and all connections.
             () = restores.notified() => {}
         }
         restore::wait(&state).await;
@@ -224,7 +224,7 @@
         }
         state.watchers.push(Watcher { key, end, lines });
     }
-    // Once the watcher is dropped, the stream ends with an error, as when a member goes away.
+    // Once the watcher is dropped, the stream ends with an error, as when an etcd member fails.
     let frames = stream::unfold(Some(receiver), |receiver| async {
         let mut receiver = receiver?;
         match receiver.recv().await {
@@ -248,7 +248,7 @@
     STANDARD.decode(value.as_str()?).ok()
 }
 
-/// Reads an int64, which the gateway takes as a string or a number.
+/// Reads an int64, which the gateway accepts as a string or a number.
 fn int(value: &Value) -> u64 {
     value.as_u64().or_else(|| value.as_str()?.parse().ok()).unwrap_or(0)
 }
@@ -299,28 +299,28 @@
         }
         self.revision += 1;
         let revision = self.revision;
-        let known = self.entries.get(&key);
+        let existing = self.entries.get(&key);
         let entry = Entry {
             value,
-            create_revision: known.map_or(revision, |known| known.create_revision),
+            create_revision: existing.map_or(revision, |existing| existing.create_revision),
             mod_revision: revision,
-            version: known.map_or(1, |known| known.version + 1),
+            version: existing.map_or(1, |existing| existing.version + 1),
             lease,
         };
         let event = json!({ "type": "PUT", "kv": kv(&key, &entry) });
         self.entries.insert(key.clone(), entry);
-        self.tell(key, event);
+        self.notify_watchers(key, event);
         Ok(json!({ "header": self.header() }))
     }
 
     fn delete(&mut self, body: &Value) -> Result<Value, String> {
         let key = bytes(&body["key"]).ok_or("no key")?;
         let end = bytes(&body["range_end"]).unwrap_or_default();
-        let doomed: Vec<Vec<u8>> = self.entries.keys().filter(|name| covers(&key, &end, name)).cloned().collect();
-        for name in &doomed {
+        let removed_keys: Vec<Vec<u8>> = self.entries.keys().filter(|name| covers(&key, &end, name)).cloned().collect();
+        for name in &removed_keys {
             self.remove(name);
         }
-        Ok(json!({ "header": self.header(), "deleted": doomed.len().to_string() }))
+        Ok(json!({ "header": self.header(), "deleted": removed_keys.len().to_string() }))
     }
 
     fn remove(&mut self, key: &[u8]) {
@@ -328,10 +328,10 @@
         self.revision += 1;
         let revision = self.revision.to_string();
         let kv = json!({ "key": STANDARD.encode(key), "mod_revision": revision });
-        self.tell(key.to_vec(), json!({ "type": "DELETE", "kv": kv }));
+        self.notify_watchers(key.to_vec(), json!({ "type": "DELETE", "kv": kv }));
     }
 
-    fn tell(&mut self, key: Vec<u8>, event: Value) {
+    fn notify_watchers(&mut self, key: Vec<u8>, event: Value) {
         let message = line(&json!({ "result": { "header": self.header(), "events": [event] } }));
         self.watchers.retain(|watcher| {
             !covers(&watcher.key, &watcher.end, &key) || watcher.lines.try_send(message.clone()).is_ok()
@@ -407,16 +407,16 @@
     fn drop_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let held = |(_, entry): &(&Vec<u8>, &Entry)| entry.lease == lease;
-        let doomed: Vec<Vec<u8>> = self.entries.iter().filter(held).map(|(key, _)| key.clone()).collect();
-        for key in doomed {
+        let removed_keys: Vec<Vec<u8>> = self.entries.iter().filter(held).map(|(key, _)| key.clone()).collect();
+        for key in removed_keys {
             self.remove(&key);
         }
     }
 
     fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self.leases.iter().filter(|(_, (until, _))| *until <= now).map(|(id, _)| *id).collect();
-        for lease in over {
+        let expired: Vec<u64> = self.leases.iter().filter(|(_, (until, _))| *until <= now).map(|(id, _)| *id).collect();
+        for lease in expired {
             self.drop_lease(lease);
         }
     }
--- a/standin/src/store/restore.rs
+++ b/standin/src/store/restore.rs
@@ -1,4 +1,4 @@
-//! A store that goes away and comes back from an older copy.
+//! A store that becomes unavailable and is restored from an older copy.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use super::{Entry, Shared, State};
 use crate::web::{self, Abort};
 
-/// Pause before the port is listened on again that was just closed, in milliseconds.
+/// Pause before another attempt to bind the port that was just closed, and between two checks of an unavailable store.
 const REBIND_MS: u64 = 5;
-/// Time that the answer to the command has to go out before all connections end, in milliseconds.
+/// Time for the answer to the command to be sent before all connections end.
 const ANSWER_MS: u64 = 20;
 
-/// All that a store holds.
+/// Copy of the whole contents of a store.
 #[derive(Clone)]
 pub struct Copy {
     revision: u64,
@@ -27,7 +27,7 @@
 }
 
 impl Copy {
-    /// Takes a copy.
+    /// Copies the contents of a store.
     pub fn of(state: &State) -> Self {
         Self {
             revision: state.revision,
@@ -38,7 +38,7 @@
     }
 }
 
-/// How the store is to come back.
+/// Parameters of a restore.
 pub struct Restore {
     away: Duration,
     history: Option<u64>,
@@ -47,7 +47,7 @@
 }
 
 impl Restore {
-    /// Reads a command.
+    /// Reads the parameters from the query of the command.
     pub fn of(query: &BTreeMap<String, String>) -> Self {
         Self {
             away: Duration::from_millis(web::number(query, "away_ms").unwrap_or(0)),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Has the store go away now, and come back later.
+    /// Makes the store unavailable now, and restores the copy after the given time.
     pub fn begin(self, state: &Shared, restores: Arc<Notify>) -> Result<(), Abort> {
         {
             let mut state = state.lock().map_err(|_| "poisoned")?;
@@ -99,14 +99,14 @@
     }
 }
 
-/// Waits until the store is to be back.
+/// Waits until the store is available.
 pub async fn wait(state: &Shared) {
     while state.lock().is_ok_and(|state| state.faults.down) {
         sleep(Duration::from_millis(REBIND_MS)).await;
     }
 }
 
-/// Listens on the store's address, as soon as it is free again.
+/// Binds the store's address, and retries while the port is still in use.
 pub async fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     for _ in 0..100 {
         if let Ok(listener) = TcpListener::bind(addr).await {
--- a/standin/src/web.rs
+++ b/standin/src/web.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share of HTTP: serving, queries, bodies.
+//! HTTP helpers of the stand-ins: servers, queries and bodies.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -17,24 +17,24 @@
 
 /// An error that ends a connection without an answer.
 pub type Abort = Box<dyn std::error::Error + Send + Sync>;
-/// A body that is whole or streams.
+/// A body that is sent whole or streamed.
 pub type Body = UnsyncBoxBody<Bytes, Abort>;
 /// An answer of a stand-in.
 pub type Answer = Result<Response<Body>, Abort>;
 
-/// Makes a whole body.
+/// Returns a body that is sent whole.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Makes an answer with a status and a whole body.
+/// Returns an answer with a status and a body that is sent whole.
 pub fn answer(status: u16, body: impl Into<Bytes>) -> Response<Body> {
     let mut answer = Response::new(full(body));
     *answer.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     answer
 }
 
-/// Reads the pairs of a query.
+/// Parses the pairs of a query; a key without a value has the value 1.
 pub fn query(uri: &hyper::Uri) -> BTreeMap<String, String> {
     let pairs = uri.query().unwrap_or("").split('&').filter(|pair| !pair.is_empty());
     let split = |pair: &str| {
@@ -44,16 +44,16 @@
     pairs.map(split).collect()
 }
 
-/// Returns a number of a query.
+/// Returns the number that a query has for a key.
 pub fn number(query: &BTreeMap<String, String>, key: &str) -> Option<u64> {
     query.get(key)?.parse().ok()
 }
 
-/// Serves HTTP/1.1 until the process ends; every new connection costs `connect`.
+/// Serves HTTP/1.1 until the process ends; each new connection is delayed by `connect`.
 ///
 /// # Errors
 ///
-/// Returns why the address could not be listened on.
+/// Returns an error if the address can't be bound.
 pub async fn serve<H, F>(addr: SocketAddr, connect: Duration, handler: H) -> std::io::Result<()>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// Serves HTTP/1.1 on a listener that is bound already; its connections end with it.
+/// Serves HTTP/1.1 on a bound listener; dropping the future closes the listener and its connections.
 pub async fn serve_on<H, F>(listener: TcpListener, connect: Duration, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
