--- a/standin/src/managed/server.rs
+++ b/standin/src/managed/server.rs
@@ -215,7 +215,7 @@
                 Err(_) => tokio::time::sleep(Duration::from_millis(REBIND_MS)).await,
             }
         };
-        self.start_again();
+        self.restart_with_new_id();
         self.down.store(false, Ordering::Relaxed);
         self.serve(listener);
     }
@@ -284,7 +284,7 @@
     }
 
     /// Restarts the server under another id; runs in progress complete.
-    pub fn start_again(&self) {
+    pub fn restart_with_new_id(&self) {
         let generation = self.incarnation().generation + 1;
         self.begin_incarnation(generation);
     }
--- a/standin/src/soak/caller.rs
+++ b/standin/src/soak/caller.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::fleet::Fleet;
-use super::judge::{Breach, CallRecord, Seen, Versions};
+use super::judge::{Breach, CallOutcome, CallRecord, Versions};
 use crate::client::{Client, Reply};
 
 /// Number of callers of each VM.
@@ -105,12 +105,12 @@
             let repeatable = rng.bool();
             let began_ms = self.began.elapsed().as_millis() as u64;
             let answer = call(&client, &id, repeatable);
-            let seen = match timeout(Duration::from_millis(DEADLINE_MS + SLACK_MS), answer).await {
-                Ok(Ok(reply)) => Seen::Answer { status: reply.status, own: is_own(&reply, &id) },
-                Ok(Err(_)) => Seen::Cut,
-                Err(_) => Seen::GivenUp,
+            let outcome = match timeout(Duration::from_millis(DEADLINE_MS + SLACK_MS), answer).await {
+                Ok(Ok(reply)) => CallOutcome::Answer { status: reply.status, own: is_own(&reply, &id) },
+                Ok(Err(_)) => CallOutcome::Cut,
+                Err(_) => CallOutcome::GivenUp,
             };
-            self.calls.borrow_mut().push(CallRecord { id, began_ms, repeatable, seen });
+            self.calls.borrow_mut().push(CallRecord { id, began_ms, repeatable, outcome });
             sleep(Duration::from_millis(rng.u64(PAUSE_MS))).await;
         }
     }
@@ -134,7 +134,7 @@
                 let served = is_served(addr, &format!("/version/{version}/")).await;
                 // The node restarted meanwhile: the answer may come from its next incarnation.
                 if fleet.borrow().vms[vm].incarnations == incarnation {
-                    self.breaches.borrow_mut().extend(versions.seen(&name, version, served));
+                    self.breaches.borrow_mut().extend(versions.record(&name, version, served));
                 }
             }
             before = newest;
--- a/standin/src/soak/deadly.rs
+++ b/standin/src/soak/deadly.rs
@@ -64,12 +64,12 @@
 }
 
 /// Checks the number of runs against the limit; runs on nodes with a recent fault are ignored.
-pub fn judge_deadly(runs: &[DeadlyRun], steps: &[Step]) -> Option<Breach> {
+pub fn check_deadly_runs(runs: &[DeadlyRun], steps: &[Step]) -> Option<Breach> {
     let third = runs.get(CRASHES - 1)?;
     let late = runs.iter().filter(|run| run.at_ms > third.at_ms + CONTACT_MS);
     let late: Vec<&DeadlyRun> = late.filter(|run| steps.iter().all(|step| !is_near(step, run))).collect();
     (late.len() > SENDS_LEFT).then(|| Breach {
-        promise: "a call that crashes upstreams stops reaching them",
+        guarantee: "a call that crashes upstreams stops reaching them",
         subject: PATH.to_owned(),
         detail: format!("{} runs in all, {} late: {late:?}", runs.len(), late.len()),
     })
@@ -77,10 +77,8 @@
 
 /// Returns whether a fault affected the store or the node of a run shortly before the run.
 fn is_near(step: &Step, run: &DeadlyRun) -> bool {
-    let of_all = matches!(
-        step.fault,
-        Fault::Store(_) | Fault::Revoke | Fault::Lapse | Fault::Compact | Fault::ComeBackOlder { .. }
-    );
+    let of_all =
+        matches!(step.fault, Fault::Store(_) | Fault::Revoke | Fault::Lapse | Fault::Compact | Fault::RollBack { .. });
     let until_ms = step.at_ms + step.lasts_ms + CONTACT_MS;
     (of_all || step.vm == run.vm) && (step.at_ms..=until_ms).contains(&run.at_ms)
 }
--- a/standin/src/soak/fleet.rs
+++ b/standin/src/soak/fleet.rs
@@ -216,7 +216,7 @@
             Fault::Spoil(spoil) => self.spoil(at, spoil),
             Fault::Drain => vm.upstream.drain(),
             Fault::Store(mode) => self.store.set_mode(mode),
-            Fault::ComeBackOlder { .. } => self.store.set_mode(Mode::Refusing),
+            Fault::RollBack { .. } => self.store.set_mode(Mode::Refusing),
             Fault::Revoke => self.store.revoke("valetrack/"),
             Fault::Lapse => self.store.lapse(),
             Fault::Compact => self.store.compact(),
@@ -238,9 +238,9 @@
             Fault::UpstreamPath(_) => vm.upstream_path.set(None),
             Fault::Links { .. } => vm.cuts.set(false, false),
             Fault::Spoil(_) => self.spoil(at, Spoil::Nothing),
-            Fault::Drain => vm.upstream.start_again(),
+            Fault::Drain => vm.upstream.restart_with_new_id(),
             Fault::Store(_) => self.store.set_mode(Mode::Up),
-            Fault::ComeBackOlder { changes } => {
+            Fault::RollBack { changes } => {
                 self.store.roll_back(changes);
                 self.store.set_mode(Mode::Up);
             }
--- a/standin/src/soak/judge.rs
+++ b/standin/src/soak/judge.rs
@@ -7,7 +7,7 @@
 
 /// Result of a call, as its caller observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seen {
+pub enum CallOutcome {
     /// A complete answer arrived.
     Answer {
         /// Status of the answer.
@@ -31,14 +31,14 @@
     /// Whether the call may run more than once.
     pub repeatable: bool,
     /// Result of the call.
-    pub seen: Seen,
+    pub outcome: CallOutcome,
 }
 
 /// A broken guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach {
     /// The guarantee.
-    pub promise: &'static str,
+    pub guarantee: &'static str,
     /// Id of the call, or name of the VM or the service.
     pub subject: String,
     /// Details of the observation.
@@ -47,18 +47,18 @@
 
 impl std::fmt::Display for Breach {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "promise=\"{}\" subject={} detail=\"{}\"", self.promise, self.subject, self.detail)
+        write!(f, "promise=\"{}\" subject={} detail=\"{}\"", self.guarantee, self.subject, self.detail)
     }
 }
 
 /// Checks each call against the number of runs of its id; `planned` means that only planned work happened.
-pub fn judge_calls(calls: &[CallRecord], runs: &BTreeMap<String, u64>, planned: bool) -> Vec<Breach> {
+pub fn check_calls(calls: &[CallRecord], runs: &BTreeMap<String, u64>, planned: bool) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for call in calls {
         let ran = runs.get(&call.id).copied().unwrap_or(0);
-        let mut breach = |promise: &'static str| {
-            let detail = format!("{:?}, ran {ran} times", call.seen);
-            breaches.push(Breach { promise, subject: call.id.clone(), detail });
+        let mut breach = |guarantee: &'static str| {
+            let detail = format!("{:?}, ran {ran} times", call.outcome);
+            breaches.push(Breach { guarantee, subject: call.id.clone(), detail });
         };
         if !call.repeatable && ran > 1 {
             breach("a call that is not repeatable runs at most once");
@@ -66,17 +66,17 @@
         if ran > RUNS_MAX {
             breach("a call runs on two servers at most");
         }
-        match call.seen {
-            Seen::Answer { status: 200, own: false } => breach("an answer is complete and belongs to its call"),
-            Seen::Answer { status: 408 | 421 | 429 | 503, .. } if ran > 0 && !call.repeatable => {
+        match call.outcome {
+            CallOutcome::Answer { status: 200, own: false } => breach("an answer is complete and belongs to its call"),
+            CallOutcome::Answer { status: 408 | 421 | 429 | 503, .. } if ran > 0 && !call.repeatable => {
                 breach("a refused call has not run");
             }
-            Seen::Answer { status: 400..=407 | 409..=420, .. } => breach("a valid call is not denied"),
-            Seen::Answer { status: 502 | 504, .. } | Seen::GivenUp if planned => {
+            CallOutcome::Answer { status: 400..=407 | 409..=420, .. } => breach("a valid call is not denied"),
+            CallOutcome::Answer { status: 502 | 504, .. } | CallOutcome::GivenUp if planned => {
                 breach("planned work fails no call");
             }
-            Seen::Cut if planned && ran > 0 => breach("planned work cuts no connection"),
-            Seen::Answer { .. } | Seen::Cut | Seen::GivenUp => {}
+            CallOutcome::Cut if planned && ran > 0 => breach("planned work cuts no connection"),
+            CallOutcome::Answer { .. } | CallOutcome::Cut | CallOutcome::GivenUp => {}
         }
     }
     let sent_ids: std::collections::BTreeSet<&str> = calls.iter().map(|call| call.id.as_str()).collect();
@@ -84,7 +84,7 @@
     let sent = |id: &str| sent_ids.contains(id.split('.').next().unwrap_or(id));
     for id in runs.keys().filter(|id| !sent(id)) {
         let detail = "an upstream ran it".to_owned();
-        breaches.push(Breach { promise: "only calls sent by callers run", subject: id.clone(), detail });
+        breaches.push(Breach { guarantee: "only calls sent by callers run", subject: id.clone(), detail });
     }
     breaches
 }
@@ -98,13 +98,13 @@
 impl Versions {
     /// Records whether the route of a version was served; the request must be sent after all earlier answers. Returns a
     /// breach if a later version was in force before.
-    pub fn seen(&mut self, vm: &str, version: u64, served: bool) -> Option<Breach> {
+    pub fn record(&mut self, vm: &str, version: u64, served: bool) -> Option<Breach> {
         if !served {
             return None;
         }
         if version < self.latest {
             let detail = format!("the route of version {version} is served after that of {}", self.latest);
-            return Some(Breach { promise: "configuration versions only increase", subject: vm.to_owned(), detail });
+            return Some(Breach { guarantee: "configuration versions only increase", subject: vm.to_owned(), detail });
         }
         self.latest = version;
         None
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -19,9 +19,9 @@
 
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-pub use self::deadly::{DeadlyRun, judge_deadly};
-pub use self::judge::{Breach, CallRecord, Seen, Versions, judge_calls};
-pub use self::repeat::{Arrival, judge_repeats};
+pub use self::deadly::{DeadlyRun, check_deadly_runs};
+pub use self::judge::{Breach, CallOutcome, CallRecord, Versions, check_calls};
+pub use self::repeat::{Arrival, check_retries};
 pub use self::schedule::{Fault, Kind, PathFault, Step, rollbacks, schedule, suspensions};
 
 use self::caller::Callers;
@@ -101,7 +101,7 @@
     fleet.borrow_mut().end_all_faults();
     if timeout(Duration::from_secs(RECOVERY_S), all_serve(&fleet, callers.version())).await.is_err() {
         let detail = format!("not all nodes are ready and serve the newest version after {RECOVERY_S} s");
-        report.breaches.push(Breach { promise: "the fleet recovers", subject: "fleet".into(), detail });
+        report.breaches.push(Breach { guarantee: "the fleet recovers", subject: "fleet".into(), detail });
     }
     callers.stop();
     while load.join_next().await.is_some() {}
@@ -109,14 +109,14 @@
     restarting.abort();
     if let Some(deadly) = deadly {
         deadly.abort();
-        report.breaches.extend(judge_deadly(&deadly::runs(&fleet, callers.began()), &steps));
+        report.breaches.extend(check_deadly_runs(&deadly::runs(&fleet, callers.began()), &steps));
     }
     let calls = callers.calls();
     report.ends = count_results(&calls);
     // Crashes and suspensions aren't planned work; a store rollback cuts no call.
     let planned = Kind::of_seed(settings.seed) == Kind::Planned && !settings.crashes;
     report.breaches.extend(callers.breaches());
-    report.breaches.extend(judge_calls(&calls, &runs(&fleet), planned));
+    report.breaches.extend(check_calls(&calls, &runs(&fleet), planned));
     report.breaches.extend(late_arrival_breaches(&fleet));
     let services = [true, false].map(caller::service_of);
     report
@@ -129,10 +129,10 @@
 fn count_results(calls: &[CallRecord]) -> BTreeMap<String, u64> {
     let mut ends = BTreeMap::new();
     for call in calls {
-        let end = match &call.seen {
-            Seen::Answer { status, .. } => status.to_string(),
-            Seen::Cut => "cut".to_owned(),
-            Seen::GivenUp => "given up".to_owned(),
+        let end = match &call.outcome {
+            CallOutcome::Answer { status, .. } => status.to_string(),
+            CallOutcome::Cut => "cut".to_owned(),
+            CallOutcome::GivenUp => "given up".to_owned(),
         };
         *ends.entry(end).or_insert(0) += 1;
     }
@@ -154,7 +154,7 @@
         ends.spawn_local(async move {
             sleep(Duration::from_millis(step.lasts_ms)).await;
             fleet.borrow_mut().end(step.vm, step.fault);
-            if matches!(step.fault, Fault::ComeBackOlder { .. }) {
+            if matches!(step.fault, Fault::RollBack { .. }) {
                 // The operator notices the missing configuration after about as long as the store was unavailable.
                 sleep(Duration::from_millis(step.lasts_ms)).await;
                 fleet.borrow().store.put("op/config", &configuration(callers.version()));
@@ -223,14 +223,14 @@
         .map(|(at, id)| Arrival { at_ms: at.saturating_duration_since(began.into_std()).as_millis() as u64, id });
     let of_service = calls.iter().filter(|call| caller::service_of(call.repeatable) == service);
     let began_ms: Vec<u64> = of_service.map(|call| call.began_ms).collect();
-    judge_repeats(service, arrivals.collect(), &began_ms, RETRY_GUARANTEE)
+    check_retries(service, arrivals.collect(), &began_ms, RETRY_GUARANTEE)
 }
 
 fn late_arrival_breaches(fleet: &Rc<RefCell<Fleet>>) -> Vec<Breach> {
     let fleet = fleet.borrow();
     let late = fleet.vms.iter().filter(|vm| vm.upstream.late_arrivals() > 0);
     late.map(|vm| Breach {
-        promise: "a draining upstream receives no new work",
+        guarantee: "a draining upstream receives no new work",
         subject: vm.name.clone(),
         detail: format!("{} arrivals after the drain timeout", vm.upstream.late_arrivals()),
     })
--- a/standin/src/soak/repeat.rs
+++ b/standin/src/soak/repeat.rs
@@ -16,11 +16,11 @@
 }
 
 /// Checks the arrivals at one service against the retry budget; `began_ms` holds the start times of the callers' calls.
-pub fn judge_repeats(
+pub fn check_retries(
     service: &str,
     mut arrivals: Vec<Arrival>,
     began_ms: &[u64],
-    promise: RepeatPromise,
+    guarantee: RepeatPromise,
 ) -> Option<Breach> {
     arrivals.sort();
     let mut seen_ids = BTreeSet::new();
@@ -30,7 +30,7 @@
     let nested = first.iter().filter(|arrival| arrival.id.contains('.')).map(|arrival| arrival.at_ms);
     let calls_ms: Vec<u64> = began_ms.iter().copied().chain(nested).collect();
     let retries_ms: Vec<u64> = retries.iter().map(|arrival| arrival.at_ms).collect();
-    let window_ms = promise.window_us / 1000;
+    let window_ms = guarantee.window_us / 1000;
     let within = |times: &[u64], from_ms: u64| {
         times.iter().filter(|at_ms| (from_ms..from_ms + window_ms).contains(at_ms)).count() as u64
     };
@@ -38,9 +38,9 @@
         let count = within(&retries_ms, from_ms);
         let windows = [0, window_ms / 2, window_ms];
         let calls = windows.iter().map(|earlier_ms| within(&calls_ms, from_ms.saturating_sub(*earlier_ms))).max()?;
-        let allowed = calls * u64::from(promise.percent) / 100 + u64::from(promise.reserve);
+        let allowed = calls * u64::from(guarantee.percent) / 100 + u64::from(guarantee.reserve);
         (count > allowed).then(|| Breach {
-            promise: "retries stay within their budget",
+            guarantee: "retries stay within their budget",
             subject: service.to_owned(),
             detail: format!("from {from_ms} ms: {count} for {calls} calls, allowed {allowed}"),
         })
--- a/standin/src/soak/schedule.rs
+++ b/standin/src/soak/schedule.rs
@@ -54,7 +54,7 @@
     Compact,
     /// The store becomes unavailable and is restored from an older copy; then the operator writes the configuration
     /// again.
-    ComeBackOlder {
+    RollBack {
         /// Number of changes that the copy lacks.
         changes: usize,
     },
@@ -129,7 +129,7 @@
             Some(last) if rng.u32(..3) == 0 => last.at_ms + last.lasts_ms + rng.u64(20..=600),
             _ => rng.u64(..length_ms),
         };
-        let fault = Fault::ComeBackOlder { changes: rng.usize(1..=LOST_MAX) };
+        let fault = Fault::RollBack { changes: rng.usize(1..=LOST_MAX) };
         steps.push(Step { at_ms, lasts_ms: rng.u64(20..=OUTAGE_MAX_MS), vm: 0, fault });
     }
     steps
--- a/standin/src/soak/tests.rs
+++ b/standin/src/soak/tests.rs
@@ -5,7 +5,7 @@
 use test_case::test_case;
 use valetrack::placement::RepeatPromise;
 
-use super::{Arrival, CallRecord, Fault, Kind, Seen, Versions, judge_calls, judge_repeats, schedule};
+use super::{Arrival, CallOutcome, CallRecord, Fault, Kind, Versions, check_calls, check_retries, schedule};
 
 #[test]
 fn schedule_depends_on_seed_alone() {
@@ -28,11 +28,11 @@
     assert_eq!(kinds.len(), 14, "{kinds:?}");
 }
 
-const OWN: Seen = Seen::Answer { status: 200, own: true };
-const FOREIGN: Seen = Seen::Answer { status: 200, own: false };
-const REFUSED: Seen = Seen::Answer { status: 503, own: false };
-const FAILED: Seen = Seen::Answer { status: 502, own: false };
-const DENIED: Seen = Seen::Answer { status: 404, own: false };
+const OWN: CallOutcome = CallOutcome::Answer { status: 200, own: true };
+const FOREIGN: CallOutcome = CallOutcome::Answer { status: 200, own: false };
+const REFUSED: CallOutcome = CallOutcome::Answer { status: 503, own: false };
+const FAILED: CallOutcome = CallOutcome::Answer { status: 502, own: false };
+const DENIED: CallOutcome = CallOutcome::Answer { status: 404, own: false };
 
 #[test_case(false, &OWN, 1, false, None; "a call that ran once")]
 #[test_case(false, &OWN, 2, false, Some("a call that is not repeatable runs at most once"); "a second run")]
@@ -44,47 +44,53 @@
 #[test_case(true, &DENIED, 0, false, Some("a valid call is not denied"); "a denied call")]
 #[test_case(true, &FAILED, 1, false, None; "a failure during faults")]
 #[test_case(true, &FAILED, 1, true, Some("planned work fails no call"); "a failure during planned work")]
-#[test_case(true, &Seen::Cut, 0, true, None; "a connection that closed before the call was read")]
-#[test_case(true, &Seen::Cut, 1, true, Some("planned work cuts no connection"); "a connection that closed in a run")]
-fn call_check_reports_broken_guarantee(repeatable: bool, seen: &Seen, ran: u64, planned: bool, breach: Option<&str>) {
-    let calls = [CallRecord { id: "a".to_owned(), began_ms: 0, repeatable, seen: seen.clone() }];
+#[test_case(true, &CallOutcome::Cut, 0, true, None; "a connection that closed before the call was read")]
+#[test_case(true, &CallOutcome::Cut, 1, true, Some("planned work cuts no connection"); "a connection cut in a run")]
+fn call_check_reports_broken_guarantee(
+    repeatable: bool,
+    outcome: &CallOutcome,
+    ran: u64,
+    planned: bool,
+    breach: Option<&str>,
+) {
+    let calls = [CallRecord { id: "a".to_owned(), began_ms: 0, repeatable, outcome: outcome.clone() }];
     let runs = BTreeMap::from([("a".to_owned(), ran)]);
-    let breaches = judge_calls(&calls, &runs, planned);
-    assert_eq!(breaches.first().map(|breach| breach.promise), breach, "{breaches:?}");
+    let breaches = check_calls(&calls, &runs, planned);
+    assert_eq!(breaches.first().map(|breach| breach.guarantee), breach, "{breaches:?}");
 }
 
 #[test_case("a"; "a call")]
 #[test_case("a.0"; "a nested call")]
 fn run_without_a_sent_call_is_a_breach(id: &str) {
     let runs = BTreeMap::from([(id.to_owned(), 1)]);
-    assert_eq!(judge_calls(&[], &runs, false).len(), 1);
-    let sent = CallRecord { id: "a".to_owned(), began_ms: 0, repeatable: true, seen: OWN };
-    assert_eq!(judge_calls(&[sent], &runs, false), []);
+    assert_eq!(check_calls(&[], &runs, false).len(), 1);
+    let sent = CallRecord { id: "a".to_owned(), began_ms: 0, repeatable: true, outcome: OWN };
+    assert_eq!(check_calls(&[sent], &runs, false), []);
 }
 
 #[test]
 fn older_version_after_a_newer_one_is_a_breach() {
     let mut versions = Versions::default();
-    assert_eq!(versions.seen("vm-0", 3, true), None);
-    assert_eq!(versions.seen("vm-0", 2, false), None);
-    assert!(versions.seen("vm-0", 2, true).is_some());
+    assert_eq!(versions.record("vm-0", 3, true), None);
+    assert_eq!(versions.record("vm-0", 2, false), None);
+    assert!(versions.record("vm-0", 2, true).is_some());
 }
 
 #[test_case(7, None; "as many as allowed")]
 #[test_case(8, Some("from 1000 ms: 8 for 10 calls, allowed 7"); "one more")]
 fn retries_are_counted_in_every_window(repeats: u64, breach: Option<&str>) {
-    let promise = RepeatPromise { percent: 20, reserve: 5, window_us: 3_000_000 };
+    let guarantee = RepeatPromise { percent: 20, reserve: 5, window_us: 3_000_000 };
     let began_ms: Vec<u64> = (0..10).map(|number| number * 100).collect();
     let first = (0..10).map(|number| (number * 100, number));
     let later = (0..repeats).map(|number| (1_000 + number * 200, number));
     let arrivals = first.chain(later).map(|(at_ms, number)| Arrival { at_ms, id: format!("call-{number}") });
-    let judged = judge_repeats("ledger", arrivals.collect(), &began_ms, promise);
-    assert_eq!(judged.map(|breach| breach.detail).as_deref(), breach);
+    let breach_found = check_retries("ledger", arrivals.collect(), &began_ms, guarantee);
+    assert_eq!(breach_found.map(|breach| breach.detail).as_deref(), breach);
 }
 
 #[test]
 fn nested_calls_of_a_retry_count_as_retries() {
-    let promise = RepeatPromise { percent: 0, reserve: 1, window_us: 3_000_000 };
+    let guarantee = RepeatPromise { percent: 0, reserve: 1, window_us: 3_000_000 };
     let arrivals = ["a.0", "a.1", "a.0", "a.1"].map(|id| Arrival { at_ms: 0, id: id.to_owned() });
-    assert!(judge_repeats("ledger", arrivals.to_vec(), &[], promise).is_some());
+    assert!(check_retries("ledger", arrivals.to_vec(), &[], guarantee).is_some());
 }
