--- a/valetrack/src/placement/crowding.rs
+++ b/valetrack/src/placement/crowding.rs
@@ -13,12 +13,12 @@
 
 /// Share of attempts that found their owner full.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Crowding {
+pub struct FullOwnerShare {
     full_share: f64,
     updated_us: u64,
 }
 
-impl Crowding {
+impl FullOwnerShare {
     /// Records whether an attempt found its owner full.
     pub fn record(&mut self, full: bool, now_us: u64) {
         let share = self.share(now_us);
--- a/valetrack/src/placement/mod.rs
+++ b/valetrack/src/placement/mod.rs
@@ -27,7 +27,7 @@
 
 pub use budget::RateBudget;
 pub use call::{Budgets, Call, CallContext, CallRule, RepeatsRefused};
-pub use crowding::Crowding;
+pub use crowding::FullOwnerShare;
 pub use message::{
     CallAction, CallEvent, Demand, Dispatch, Outcome, PlaceJob, Placed, ReceivedLoad, SERVICE_UNKNOWN, SendCause,
     ServerIndex, Verdict,
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -2,7 +2,7 @@
 
 mod worth;
 
-use super::crowding::Crowding;
+use super::crowding::FullOwnerShare;
 use super::message::{ReceivedLoad, ServerIndex};
 use super::policy::Policy;
 use super::set::ServerSet;
@@ -90,7 +90,7 @@
     policy: Policy,
     turn: usize,
     last_pick_us: Option<u64>,
-    crowding: Crowding,
+    crowding: FullOwnerShare,
     /// Whether the traffic share of any server differs from the usual one.
     is_in_rollout: bool,
     trial: TrialShare,
@@ -104,7 +104,7 @@
             policy,
             turn: 0,
             last_pick_us: None,
-            crowding: Crowding::default(),
+            crowding: FullOwnerShare::default(),
             is_in_rollout: false,
             trial: TrialShare::default(),
         }
