--- a/standin/src/overload/world.rs
+++ b/standin/src/overload/world.rs
@@ -10,7 +10,7 @@
 use valetrack::gate::{AttemptId, BounceReason, ColdRule, Gate, GateConfig, GateEvent, LoadReport};
 use valetrack::member::Candidate;
 use valetrack::placement::{
-    Budgets, Call, CallEvent, Dispatch, Policy, RepeatPromise, ServiceView, WorkEstimate, considered,
+    Budgets, Call, CallEvent, Dispatch, Policy, RetryGuarantee, ServiceView, WorkEstimate, considered,
 };
 
 use super::fleet::{DOMAINS, Fleet, Load};
@@ -27,7 +27,7 @@
 /// One-way delay between a caller and an entry.
 const CALLER_DELAY_US: u64 = 8_000;
 /// Retry budget of the fleet.
-const RETRY_GUARANTEE: RepeatPromise = RepeatPromise { percent: 20, reserve: 430, window_us: 10_000_000 };
+const RETRY_GUARANTEE: RetryGuarantee = RetryGuarantee { percent: 20, reserve: 430, window_us: 10_000_000 };
 
 /// A scheduled event.
 #[derive(Debug, Clone, Copy)]
--- a/standin/src/soak/fleet.rs
+++ b/standin/src/soak/fleet.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 
 use serde_json::json;
-use valetrack::placement::RepeatPromise;
+use valetrack::placement::RetryGuarantee;
 
 use super::path::Path;
 use super::schedule::{Fault, PathFault};
@@ -33,7 +33,7 @@
 
 /// The fleet's retry budget: the ratio that the platform's sites require, with a window so short that a short run
 /// contains two, and a reserve that is small compared with the ratio's share of a window.
-pub(super) const RETRY_GUARANTEE: RepeatPromise = RepeatPromise { percent: 20, reserve: 20, window_us: 5_000_000 };
+pub(super) const RETRY_GUARANTEE: RetryGuarantee = RetryGuarantee { percent: 20, reserve: 20, window_us: 5_000_000 };
 /// Number of nested calls to the second service in each run of the first one.
 const NESTED_CALLS: usize = 2;
 
--- a/standin/src/soak/repeat.rs
+++ b/standin/src/soak/repeat.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use valetrack::placement::RepeatPromise;
+use valetrack::placement::RetryGuarantee;
 
 use super::judge::Breach;
 
@@ -20,7 +20,7 @@
     service: &str,
     mut arrivals: Vec<Arrival>,
     began_ms: &[u64],
-    guarantee: RepeatPromise,
+    guarantee: RetryGuarantee,
 ) -> Option<Breach> {
     arrivals.sort();
     let mut seen_ids = BTreeSet::new();
--- a/standin/src/soak/tests.rs
+++ b/standin/src/soak/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use test_case::test_case;
-use valetrack::placement::RepeatPromise;
+use valetrack::placement::RetryGuarantee;
 
 use super::{Arrival, CallOutcome, CallRecord, Fault, Kind, Versions, check_calls, check_retries, schedule};
 
@@ -79,7 +79,7 @@
 #[test_case(7, None; "as many as allowed")]
 #[test_case(8, Some("from 1000 ms: 8 for 10 calls, allowed 7"); "one more")]
 fn retries_are_counted_in_every_window(repeats: u64, breach: Option<&str>) {
-    let guarantee = RepeatPromise { percent: 20, reserve: 5, window_us: 3_000_000 };
+    let guarantee = RetryGuarantee { percent: 20, reserve: 5, window_us: 3_000_000 };
     let began_ms: Vec<u64> = (0..10).map(|number| number * 100).collect();
     let first = (0..10).map(|number| (number * 100, number));
     let later = (0..repeats).map(|number| (1_000 + number * 200, number));
@@ -90,7 +90,7 @@
 
 #[test]
 fn nested_calls_of_a_retry_count_as_retries() {
-    let guarantee = RepeatPromise { percent: 0, reserve: 1, window_us: 3_000_000 };
+    let guarantee = RetryGuarantee { percent: 0, reserve: 1, window_us: 3_000_000 };
     let arrivals = ["a.0", "a.1", "a.0", "a.1"].map(|id| Arrival { at_ms: 0, id: id.to_owned() });
     assert!(check_retries("ledger", arrivals.to_vec(), &[], guarantee).is_some());
 }
--- a/valetrack/src/placement/call.rs
+++ b/valetrack/src/placement/call.rs
@@ -8,7 +8,7 @@
 mod end;
 
 use super::message::{CallAction, CallEvent, Demand, QUARANTINED, SendCause, ServerIndex, Verdict};
-use super::repeat::{RepeatBudget, RepeatPromise};
+use super::repeat::{RepeatBudget, RetryGuarantee};
 use super::set::ServerSet;
 use super::view::ServiceView;
 use crate::code::Code;
@@ -65,7 +65,7 @@
     }
 
     /// Creates an entry's part of a fleet's guarantee at the start of the entry. All repeats are charged to it.
-    pub fn of_fleet(guarantee: RepeatPromise, now_us: u64) -> Self {
+    pub fn of_fleet(guarantee: RetryGuarantee, now_us: u64) -> Self {
         Self { retry: RepeatBudget::of_fleet(guarantee, now_us), hedge: None, refused: RepeatsRefused::default() }
     }
 
--- a/valetrack/src/placement/repeat.rs
+++ b/valetrack/src/placement/repeat.rs
@@ -19,7 +19,7 @@
 
 /// Upper limit of the repeats that may arrive at a service, over the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RepeatPromise {
+pub struct RetryGuarantee {
     /// Repeats per hundred calls.
     pub percent: u32,
     /// Repeats beyond that share in any window.
@@ -65,7 +65,7 @@
     ///
     /// An earlier incarnation may have spent its part of the reserve, so the part of this one grows to its full size
     /// over one window. It is empty until [`configure`](Self::configure) is called for the first time.
-    pub fn of_fleet(guarantee: RepeatPromise, now_us: u64) -> Self {
+    pub fn of_fleet(guarantee: RetryGuarantee, now_us: u64) -> Self {
         Self {
             share: spent_share(guarantee),
             reserve: 0.0,
@@ -78,7 +78,7 @@
     }
 
     /// Applies a guarantee to an entry of a fleet of `members` nodes.
-    pub fn configure(&mut self, guarantee: RepeatPromise, members: u32) {
+    pub fn configure(&mut self, guarantee: RetryGuarantee, members: u32) {
         self.share = spent_share(guarantee);
         self.is_alone = members <= 1;
         self.reserve = f64::from(guarantee.reserve) * RESERVE_SPENT_PERCENT / 100.0 / f64::from(members.max(1));
@@ -126,7 +126,7 @@
 }
 
 /// Returns the repeats that entries spend per call.
-fn spent_share(guarantee: RepeatPromise) -> f64 {
+fn spent_share(guarantee: RetryGuarantee) -> f64 {
     f64::from(guarantee.percent) / 100.0 * SHARE_SPENT_PERCENT / 100.0
 }
 
--- a/valetrack/src/placement/service.rs
+++ b/valetrack/src/placement/service.rs
@@ -5,7 +5,7 @@
 use super::call::{Budgets, CallRule};
 use super::message::ServerIndex;
 use super::policy::Policy;
-use super::repeat::{RepeatBudget, RepeatPromise};
+use super::repeat::{RepeatBudget, RetryGuarantee};
 use super::view::{MAX_SERVERS, ServiceView};
 use crate::bundle::{FleetRetries, ServiceRule};
 use crate::member::Candidate;
@@ -134,9 +134,9 @@
 }
 
 /// Returns the guarantee on repeats of a service, if its rule has a fleet-wide budget.
-fn retry_guarantee(rule: &ServiceRule) -> Option<RepeatPromise> {
+fn retry_guarantee(rule: &ServiceRule) -> Option<RetryGuarantee> {
     let FleetRetries { reserve, window_ms } = rule.fleet_retries?;
-    Some(RepeatPromise { percent: rule.retry_percent, reserve, window_us: u64::from(window_ms) * 1000 })
+    Some(RetryGuarantee { percent: rule.retry_percent, reserve, window_us: u64::from(window_ms) * 1000 })
 }
 
 /// Returns the placement rule for calls of a service.
--- a/valetrack/src/placement/tests/budget.rs
+++ b/valetrack/src/placement/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use crate::placement::{FleetSize, RateBudget, RepeatBudget, RepeatPromise};
+use crate::placement::{FleetSize, RateBudget, RepeatBudget, RetryGuarantee};
 
 /// Window of the budgets under test.
 const WINDOW_US: u64 = 10_000_000;
@@ -61,7 +61,7 @@
         members in 1..20u32,
         steps in prop::collection::vec((0..300_000u64, 0..3u8, 0..4u8), 1..400),
     ) {
-        let guarantee = RepeatPromise { percent, reserve, window_us: WINDOW_US };
+        let guarantee = RetryGuarantee { percent, reserve, window_us: WINDOW_US };
         let mut budget = RepeatBudget::of_fleet(guarantee, 0);
         budget.configure(guarantee, members);
         let mut now_us = 0u64;
@@ -95,7 +95,7 @@
 
 #[test]
 fn reserve_of_restarted_node_grows_over_one_window() {
-    let guarantee = RepeatPromise { percent: 0, reserve: 100, window_us: WINDOW_US };
+    let guarantee = RetryGuarantee { percent: 0, reserve: 100, window_us: WINDOW_US };
     let spent_until = |age_us: u64| {
         let mut budget = RepeatBudget::of_fleet(guarantee, 5_000_000);
         budget.configure(guarantee, 10);
@@ -106,7 +106,7 @@
 
 #[test]
 fn new_node_without_known_members_spends_no_reserve() {
-    let guarantee = RepeatPromise { percent: 0, reserve: 100, window_us: WINDOW_US };
+    let guarantee = RetryGuarantee { percent: 0, reserve: 100, window_us: WINDOW_US };
     let mut budget = RepeatBudget::of_fleet(guarantee, 0);
     budget.configure(guarantee, 1);
     assert!(!budget.take(WINDOW_US - 1));
@@ -132,7 +132,7 @@
 
 #[test]
 fn large_fleet_spends_share_with_fractional_reserve() {
-    let guarantee = RepeatPromise { percent: 20, reserve: 58, window_us: WINDOW_US };
+    let guarantee = RetryGuarantee { percent: 20, reserve: 58, window_us: WINDOW_US };
     let mut budget = RepeatBudget::of_fleet(guarantee, 0);
     budget.configure(guarantee, 12_000);
     (0..6).for_each(|_| budget.begin(0.0, WINDOW_US));
--- a/valetrack/src/placement/tests/fleet.rs
+++ b/valetrack/src/placement/tests/fleet.rs
@@ -19,7 +19,7 @@
 
 use crate::gate::{AttemptId, BounceReason, CancelResult};
 use crate::placement::{
-    Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Demand, Dispatch, NestedCalls, Policy, RepeatPromise,
+    Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Demand, Dispatch, NestedCalls, Policy, RetryGuarantee,
     ServerIndex, ServiceView,
 };
 
@@ -32,7 +32,7 @@
 /// Upstreams of each service; those of the first service run beside the first VMs.
 const UPSTREAMS: [usize; 2] = [4, 3];
 /// The fleet's guarantee: repeats per hundred calls, and repeats beyond that in any window.
-const GUARANTEE: RepeatPromise = RepeatPromise { percent: 20, reserve: 58, window_us: 10_000_000 };
+const GUARANTEE: RetryGuarantee = RetryGuarantee { percent: 20, reserve: 58, window_us: 10_000_000 };
 /// Latency between two nodes, and duration of a run.
 const LATENCY_US: u64 = 1_000;
 const RUN_US: u64 = 60_000;
