--- a/standin/src/bench/world.rs
+++ b/standin/src/bench/world.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use valetrack::gate::{AttemptId, ColdRule, Gate, GateAction, GateConfig, GateEvent, LoadReport, Patience};
 use valetrack::placement::{
-    Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Dispatch, RateBudget, RepeatBudget, ServiceView,
+    Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Dispatch, RateBudget, RetryBudget, ServiceView,
     Verdict,
 };
 
@@ -141,7 +141,7 @@
             for server in 0..scenario.servers {
                 view.set_present(server, true, 2 * delay_us(scenario, number, server) as u32);
             }
-            let budgets = Budgets::new(RepeatBudget::new(10, 20), RepeatBudget::new(5, 20));
+            let budgets = Budgets::new(RetryBudget::new(10, 20), RetryBudget::new(5, 20));
             let rng = fastrand::Rng::with_seed(seed ^ (number as u64 + 77));
             Entry { view, budgets, rng, measure: RateBudget::new(MEASURE_BYTES_PER_S, MEASURE_BYTES_PER_S, 0) }
         };
--- a/standin/src/slope.rs
+++ b/standin/src/slope.rs
@@ -12,7 +12,7 @@
 use valetrack::link::message::{Ask, Reply, ReplyHead, Riding};
 use valetrack::member::{Evacuation, ListedVm, Member, Members, Phase};
 use valetrack::placement::{
-    Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Policy, RepeatBudget, ServerSet, ServiceView,
+    Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Policy, RetryBudget, ServerSet, ServiceView,
 };
 
 /// The system's allocator with counters of the allocated bytes and of the allocations.
@@ -178,7 +178,7 @@
 fn cost_of_call() -> Cost {
     let mut view = ServiceView::new(Policy::Valetrack);
     (0..4).for_each(|server| view.set_present(server, true, 100));
-    let mut budgets = Budgets::new(RepeatBudget::new(10, 20), RepeatBudget::new(5, 20));
+    let mut budgets = Budgets::new(RetryBudget::new(10, 20), RetryBudget::new(5, 20));
     let mut rng = fastrand::Rng::with_seed(1);
     let mut next_seq = 1;
     let mut actions: Vec<CallAction> = Vec::with_capacity(8);
--- a/standin/tests/steady_state.rs
+++ b/standin/tests/steady_state.rs
@@ -3,7 +3,7 @@
 use standin::slope::{Counting, allocations};
 use valetrack::gate::LoadReport;
 use valetrack::placement::{
-    Budgets, Call, CallContext, CallEvent, CallRule, Policy, RepeatBudget, ServerSet, ServiceView,
+    Budgets, Call, CallContext, CallEvent, CallRule, Policy, RetryBudget, ServerSet, ServiceView,
 };
 
 #[global_allocator]
@@ -16,7 +16,7 @@
         view.set_present(server, true, 100);
         view.report(server, LoadReport { limit: 12, service_us: 4_000, ..LoadReport::default() }, 0);
     }
-    let mut budgets = Budgets::new(RepeatBudget::new(10, 20), RepeatBudget::new(5, 20));
+    let mut budgets = Budgets::new(RetryBudget::new(10, 20), RetryBudget::new(5, 20));
     let mut rng = fastrand::Rng::with_seed(1);
     let mut actions = Vec::with_capacity(16);
     let mut next_seq = 1;
--- a/valetrack/benches/decision.rs
+++ b/valetrack/benches/decision.rs
@@ -8,7 +8,7 @@
 use valetrack::gate::{AttemptId, Gate, GateConfig, GateEvent, LoadReport, Patience};
 use valetrack::link::codec::{pack, unpack};
 use valetrack::link::message::{CallHead, Reply, ReplyHead, Riding};
-use valetrack::placement::{Demand, Policy, RepeatBudget, ServerSet, ServiceView};
+use valetrack::placement::{Demand, Policy, RetryBudget, ServerSet, ServiceView};
 
 /// Creates a view with a load report from each server.
 fn view_of(servers: usize) -> ServiceView {
@@ -42,7 +42,7 @@
 }
 
 fn retry_budget(c: &mut Criterion) {
-    let mut budget = RepeatBudget::new(20, 4);
+    let mut budget = RetryBudget::new(20, 4);
     let mut now_us = 0;
     c.bench_function("a call and a retry in a retry budget", |b| {
         b.iter(|| {
--- a/valetrack/src/placement/call.rs
+++ b/valetrack/src/placement/call.rs
@@ -8,7 +8,7 @@
 mod end;
 
 use super::message::{CallAction, CallEvent, Demand, QUARANTINED, SendCause, ServerIndex, Verdict};
-use super::repeat::{RepeatBudget, RetryGuarantee};
+use super::repeat::{RetryBudget, RetryGuarantee};
 use super::set::ServerSet;
 use super::view::ServiceView;
 use crate::code::Code;
@@ -51,22 +51,22 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Budgets {
     /// Budget of all attempts that may arrive after the first one of their call, except for those charged to `hedge`.
-    pub retry: RepeatBudget,
+    pub retry: RetryBudget,
     /// Budget of hedges of calls without an objective; none if they are charged to `retry` too.
-    pub hedge: Option<RepeatBudget>,
+    pub hedge: Option<RetryBudget>,
     /// Repeats refused for lack of budget that the shell has not counted yet.
     pub refused: RepeatsRefused,
 }
 
 impl Budgets {
     /// Creates budgets that have refused nothing yet.
-    pub fn new(retry: RepeatBudget, hedge: RepeatBudget) -> Self {
+    pub fn new(retry: RetryBudget, hedge: RetryBudget) -> Self {
         Self { retry, hedge: Some(hedge), refused: RepeatsRefused::default() }
     }
 
     /// Creates an entry's part of a fleet's guarantee at the start of the entry. All repeats are charged to it.
     pub fn of_fleet(guarantee: RetryGuarantee, now_us: u64) -> Self {
-        Self { retry: RepeatBudget::of_fleet(guarantee, now_us), hedge: None, refused: RepeatsRefused::default() }
+        Self { retry: RetryBudget::of_fleet(guarantee, now_us), hedge: None, refused: RepeatsRefused::default() }
     }
 
     /// Records a call with the chance that it is itself a repeat.
--- a/valetrack/src/placement/mod.rs
+++ b/valetrack/src/placement/mod.rs
@@ -34,7 +34,7 @@
 };
 pub use nested::NestedCalls;
 pub use policy::Policy;
-pub use repeat::{FleetSize, RepeatBudget, RetryGuarantee};
+pub use repeat::{FleetSize, RetryBudget, RetryGuarantee};
 pub use service::considered;
 pub use set::ServerSet;
 pub use sliding::SlidingSum;
--- a/valetrack/src/placement/repeat.rs
+++ b/valetrack/src/placement/repeat.rs
@@ -34,7 +34,7 @@
 /// tokens of earlier windows in one window, and a restarted node has a full bucket again: ten nodes that restarted one
 /// after the other made 245 repeats of 600 calls in ten seconds, where 178 are allowed.
 #[derive(Debug, Clone, Copy)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     share: f64,
     /// This entry's part of the reserve.
     reserve: f64,
@@ -47,7 +47,7 @@
     repeats: SlidingSum,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Creates the budget of a single entry: `percent` repeats per hundred calls, and `reserve` repeats beyond that.
     pub fn new(percent: u32, reserve: u32) -> Self {
         Self {
--- a/valetrack/src/placement/service.rs
+++ b/valetrack/src/placement/service.rs
@@ -5,7 +5,7 @@
 use super::call::{Budgets, CallRule};
 use super::message::ServerIndex;
 use super::policy::Policy;
-use super::repeat::{RepeatBudget, RetryGuarantee};
+use super::repeat::{RetryBudget, RetryGuarantee};
 use super::view::{MAX_SERVERS, ServiceView};
 use crate::bundle::{FleetRetries, ServiceRule};
 use crate::member::Candidate;
@@ -35,8 +35,8 @@
         let budgets = match retry_guarantee(rule) {
             Some(guarantee) => Budgets::of_fleet(guarantee, now_us),
             None => Budgets::new(
-                RepeatBudget::new(rule.retry_percent, LOCAL_RESERVE),
-                RepeatBudget::new(rule.hedge_percent, LOCAL_RESERVE),
+                RetryBudget::new(rule.retry_percent, LOCAL_RESERVE),
+                RetryBudget::new(rule.hedge_percent, LOCAL_RESERVE),
             ),
         };
         Self { view: ServiceView::new(policy), budgets, targets: Vec::new() }
--- a/valetrack/src/placement/tests/budget.rs
+++ b/valetrack/src/placement/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use crate::placement::{FleetSize, RateBudget, RepeatBudget, RetryGuarantee};
+use crate::placement::{FleetSize, RateBudget, RetryBudget, RetryGuarantee};
 
 /// Window of the budgets under test.
 const WINDOW_US: u64 = 10_000_000;
@@ -45,7 +45,7 @@
 
     #[test]
     fn repeats_stay_within_share_and_reserve(percent in 0..100u32, calls in 1..3_000u32) {
-        let mut budget = RepeatBudget::new(percent, 20);
+        let mut budget = RetryBudget::new(percent, 20);
         let mut extra = 0;
         for _ in 0..calls {
             budget.begin(0.0, 0);
@@ -62,7 +62,7 @@
         steps in prop::collection::vec((0..300_000u64, 0..3u8, 0..4u8), 1..400),
     ) {
         let guarantee = RetryGuarantee { percent, reserve, window_us: WINDOW_US };
-        let mut budget = RepeatBudget::of_fleet(guarantee, 0);
+        let mut budget = RetryBudget::of_fleet(guarantee, 0);
         budget.configure(guarantee, members);
         let mut now_us = 0u64;
         let (mut calls, mut repeats) = (Vec::new(), Vec::new());
@@ -97,7 +97,7 @@
 fn reserve_of_restarted_node_grows_over_one_window() {
     let guarantee = RetryGuarantee { percent: 0, reserve: 100, window_us: WINDOW_US };
     let spent_until = |age_us: u64| {
-        let mut budget = RepeatBudget::of_fleet(guarantee, 5_000_000);
+        let mut budget = RetryBudget::of_fleet(guarantee, 5_000_000);
         budget.configure(guarantee, 10);
         (0..10).filter(|_| budget.take(5_000_000 + age_us)).count()
     };
@@ -107,7 +107,7 @@
 #[test]
 fn new_node_without_known_members_spends_no_reserve() {
     let guarantee = RetryGuarantee { percent: 0, reserve: 100, window_us: WINDOW_US };
-    let mut budget = RepeatBudget::of_fleet(guarantee, 0);
+    let mut budget = RetryBudget::of_fleet(guarantee, 0);
     budget.configure(guarantee, 1);
     assert!(!budget.take(WINDOW_US - 1));
     assert!(budget.take(WINDOW_US), "a fleet of one node has the whole reserve");
@@ -115,7 +115,7 @@
 
 #[test]
 fn unused_repeats_are_not_carried_to_next_window() {
-    let mut budget = RepeatBudget::new(10, 0);
+    let mut budget = RetryBudget::new(10, 0);
     (0..100).for_each(|_| budget.begin(0.0, 0));
     assert!(budget.take(WINDOW_US / 2));
     assert!(!budget.take(WINDOW_US * 3 / 2), "calls of an earlier window earn repeats in this one");
@@ -123,7 +123,7 @@
 
 #[test]
 fn calls_of_repeated_runs_are_charged_and_earn_nothing() {
-    let mut budget = RepeatBudget::new(50, 0);
+    let mut budget = RetryBudget::new(50, 0);
     (0..8).for_each(|_| budget.begin(0.0, 0));
     (0..3).for_each(|_| budget.begin(1.0, 0));
     assert!(budget.take(0));
@@ -133,7 +133,7 @@
 #[test]
 fn large_fleet_spends_share_with_fractional_reserve() {
     let guarantee = RetryGuarantee { percent: 20, reserve: 58, window_us: WINDOW_US };
-    let mut budget = RepeatBudget::of_fleet(guarantee, 0);
+    let mut budget = RetryBudget::of_fleet(guarantee, 0);
     budget.configure(guarantee, 12_000);
     (0..6).for_each(|_| budget.begin(0.0, WINDOW_US));
     assert!(budget.take(WINDOW_US));
@@ -150,5 +150,5 @@
 
 #[test]
 fn retry_budget_size_matches_capacity_page() {
-    assert_eq!(size_of::<RepeatBudget>(), 256);
+    assert_eq!(size_of::<RetryBudget>(), 256);
 }
--- a/valetrack/src/placement/tests/call.rs
+++ b/valetrack/src/placement/tests/call.rs
@@ -6,7 +6,7 @@
 use crate::code::Code;
 use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport};
 use crate::placement::{
-    Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Demand, Dispatch, Policy, RepeatBudget, ServerIndex,
+    Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Demand, Dispatch, Policy, RetryBudget, ServerIndex,
     ServiceView, Verdict,
 };
 
@@ -50,7 +50,7 @@
         for server in 0..SERVERS {
             view.set_present(server, true, 0);
         }
-        let budgets = Budgets::new(RepeatBudget::new(50, 20), RepeatBudget::new(50, 20));
+        let budgets = Budgets::new(RetryBudget::new(50, 20), RetryBudget::new(50, 20));
         Self {
             call: Call::new(rule, 1),
             view,
@@ -259,7 +259,7 @@
 /// Sends `calls` calls whose attempts are all rejected, and returns how many attempts were sent.
 fn attempts_sent_when_all_are_rejected(calls: usize, retry_percent: u32, reserve: u32) -> usize {
     let mut world = World::new(ONCE, 1);
-    world.budgets.retry = RepeatBudget::new(retry_percent, reserve);
+    world.budgets.retry = RetryBudget::new(retry_percent, reserve);
     let mut sent = 0;
     for _ in 0..calls {
         world.call = Call::new(CallRule { bounces: 4, ..ONCE }, 1);
