--- a/standin/src/bench/world.rs
+++ b/standin/src/bench/world.rs
@@ -323,7 +323,7 @@
                 }
                 GateAction::Bounce { attempt, reason } => {
                     self.row.declines += 1;
-                    self.reply(attempt, server, CallEvent::Bounced { attempt, reason });
+                    self.reply(attempt, server, CallEvent::Declined { attempt, reason });
                 }
                 GateAction::ReportCancel { attempt, result } => {
                     let result = Some(result);
--- a/standin/src/overload/world/owner.rs
+++ b/standin/src/overload/world/owner.rs
@@ -72,7 +72,7 @@
             match action {
                 GateAction::Start { attempt } => self.start(vm, attempt),
                 GateAction::Bounce { attempt, reason } => {
-                    self.reply(vm, attempt, CallEvent::Bounced { attempt, reason }, 0);
+                    self.reply(vm, attempt, CallEvent::Declined { attempt, reason }, 0);
                 }
                 GateAction::ReportCancel { attempt, result } => {
                     self.reply(vm, attempt, CallEvent::CancelResult { attempt, result: Some(result) }, 0);
--- a/valetrack/src/placement/attempt.rs
+++ b/valetrack/src/placement/attempt.rs
@@ -81,7 +81,7 @@
             let event = attempt_event(attempt, result, &self.metrics);
             match &event {
                 (CallEvent::Ran { .. }, Some((answer, _))) => self.record_nested_route(&route, answer.nested),
-                (CallEvent::Bounced { reason: BounceReason::Evacuated, .. }, _) => {
+                (CallEvent::Declined { reason: BounceReason::Evacuated, .. }, _) => {
                     self.report_evacuation(&service, server);
                 }
                 _ => {}
@@ -149,7 +149,7 @@
             }
         },
         Reply::Bounce { attempt: declined, reason } if declined == attempt => {
-            (CallEvent::Bounced { attempt, reason }, None)
+            (CallEvent::Declined { attempt, reason }, None)
         }
         _ => {
             metrics.stray_answers.inc();
@@ -162,7 +162,7 @@
     match event {
         CallEvent::Ran { healthy: true, .. } => "ran",
         CallEvent::Ran { healthy: false, .. } => "ran-unhealthy",
-        CallEvent::Bounced { .. } => "bounced",
+        CallEvent::Declined { .. } => "bounced",
         CallEvent::Failed { .. } => "failed",
         CallEvent::Unsent { .. } => "unsent",
         CallEvent::Broken { .. } => "broken",
--- a/valetrack/src/placement/call.rs
+++ b/valetrack/src/placement/call.rs
@@ -255,7 +255,7 @@
         match event {
             CallEvent::Begin => self.begin(cx, out),
             CallEvent::Ran { attempt, healthy } => self.ran(attempt, healthy, cx, out),
-            CallEvent::Bounced { attempt, reason } => self.declined(attempt, reason, cx, out),
+            CallEvent::Declined { attempt, reason } => self.declined(attempt, reason, cx, out),
             CallEvent::Failed { attempt, code } => self.failed(attempt, code, cx, out),
             CallEvent::Unsent { attempt } => self.unsent(attempt, cx, out),
             CallEvent::Broken { attempt } => self.broken(attempt, cx, out),
--- a/valetrack/src/placement/message.rs
+++ b/valetrack/src/placement/message.rs
@@ -45,7 +45,7 @@
         healthy: bool,
     },
     /// The owner declined the attempt without starting it.
-    Bounced {
+    Declined {
         /// The attempt.
         attempt: AttemptId,
         /// Reason of the decline.
--- a/valetrack/src/placement/tests/call.rs
+++ b/valetrack/src/placement/tests/call.rs
@@ -139,7 +139,7 @@
             (3, Progress::Sent) if !closed => {
                 let reason =
                     [BounceReason::Full, BounceReason::Leaving, BounceReason::Stalled][usize::from(what / 8) % 3];
-                (Progress::NeverStarts, Some(CallEvent::Bounced { attempt, reason }))
+                (Progress::NeverStarts, Some(CallEvent::Declined { attempt, reason }))
             }
             (4, Progress::Sent) if !closed && !cancel_sent => {
                 (Progress::NeverStarts, Some(CallEvent::Unsent { attempt }))
@@ -241,7 +241,7 @@
     for _ in 0..=ONCE.bounces {
         let attempt = world.attempts.last().expect("an attempt").id;
         world.attempts.last_mut().expect("an attempt").progress = Progress::NeverStarts;
-        world.handle_event(CallEvent::Bounced { attempt, reason: BounceReason::Full }).expect("no violated invariant");
+        world.handle_event(CallEvent::Declined { attempt, reason: BounceReason::Full }).expect("no violated invariant");
     }
     assert!(matches!(world.verdict, Some(Verdict::NotRun { code: Code::Overloaded, .. })), "{:?}", world.verdict);
 }
@@ -251,7 +251,7 @@
     let mut world = single(CallRule { bounces: 0, ..ONCE });
     let attempt = world.attempts[0].id;
     world.attempts[0].progress = Progress::NeverStarts;
-    world.handle_event(CallEvent::Bounced { attempt, reason: BounceReason::Leaving }).expect("no violated invariant");
+    world.handle_event(CallEvent::Declined { attempt, reason: BounceReason::Leaving }).expect("no violated invariant");
     assert_eq!(world.attempts.len(), 2);
     assert!(world.verdict.is_none());
 }
@@ -271,7 +271,7 @@
             let attempt = world.attempts.last().expect("an attempt").id;
             world.attempts.last_mut().expect("an attempt").progress = Progress::NeverStarts;
             world
-                .handle_event(CallEvent::Bounced { attempt, reason: BounceReason::Rejected })
+                .handle_event(CallEvent::Declined { attempt, reason: BounceReason::Rejected })
                 .expect("no violated invariant");
         }
         assert!(matches!(world.verdict, Some(Verdict::NotRun { .. })), "{:?}", world.verdict);
@@ -325,7 +325,7 @@
     while world.verdict.is_none() {
         let attempt = world.attempts.last().expect("an attempt").id;
         world.attempts.last_mut().expect("an attempt").progress = Progress::NeverStarts;
-        world.handle_event(CallEvent::Bounced { attempt, reason: BounceReason::Full }).expect("no violated invariant");
+        world.handle_event(CallEvent::Declined { attempt, reason: BounceReason::Full }).expect("no violated invariant");
     }
     assert!(matches!(world.verdict, Some(Verdict::Unknown { code: Code::ServerFailed })), "{:?}", world.verdict);
 }
@@ -353,7 +353,7 @@
     while world.verdict.is_none() {
         let attempt = world.attempts.last().expect("an attempt").id;
         world.attempts.last_mut().expect("an attempt").progress = Progress::NeverStarts;
-        world.handle_event(CallEvent::Bounced { attempt, reason }).expect("no violated invariant");
+        world.handle_event(CallEvent::Declined { attempt, reason }).expect("no violated invariant");
     }
     assert_eq!(world.verdict, Some(Verdict::Answer(failing)));
 }
--- a/valetrack/src/placement/tests/fleet.rs
+++ b/valetrack/src/placement/tests/fleet.rs
@@ -111,8 +111,8 @@
     fn event(self) -> CallEvent {
         match self {
             Self::Answered { attempt, healthy } => CallEvent::Ran { attempt, healthy },
-            Self::Rejected { attempt } => CallEvent::Bounced { attempt, reason: BounceReason::Rejected },
-            Self::RepeatRefused { attempt } => CallEvent::Bounced { attempt, reason: BounceReason::RepeatRefused },
+            Self::Rejected { attempt } => CallEvent::Declined { attempt, reason: BounceReason::Rejected },
+            Self::RepeatRefused { attempt } => CallEvent::Declined { attempt, reason: BounceReason::RepeatRefused },
             Self::Broken { attempt } => CallEvent::Broken { attempt },
             Self::Cancelled { attempt, rejected } => {
                 let result = if rejected { CancelResult::Rejected } else { CancelResult::Started };
