--- a/standin/src/overload/world.rs
+++ b/standin/src/overload/world.rs
@@ -222,7 +222,7 @@
                     };
                     let view = &mut self.vms[entry].views[service];
                     view.set_present(server, true, network_us);
-                    view.set_far(server, is_cross_domain);
+                    view.set_cross_domain(server, is_cross_domain);
                 }
                 self.vms[entry].targets[service] = targets;
             }
--- a/valetrack/src/placement/service.rs
+++ b/valetrack/src/placement/service.rs
@@ -71,7 +71,7 @@
                 () => domain_cost_us,
             };
             self.view.set_present(server, true, network_us);
-            self.view.set_far(server, &*candidate.domain != domain);
+            self.view.set_cross_domain(server, &*candidate.domain != domain);
             self.view.set_part(server, candidate.part);
             self.targets[server] = Some(candidate);
         }
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -129,7 +129,7 @@
     }
 
     /// Sets whether a server is in another failure domain.
-    pub fn set_far(&mut self, server: ServerIndex, cross_domain: bool) {
+    pub fn set_cross_domain(&mut self, server: ServerIndex, cross_domain: bool) {
         if let Some(view) = self.servers.get_mut(server) {
             view.cross_domain = cross_domain;
         }
