--- a/standin/src/bench/world.rs
+++ b/standin/src/bench/world.rs
@@ -389,7 +389,7 @@
             if !self.entries[entry].measure.take(PROBE_BYTES, now_us) {
                 break;
             }
-            self.entries[entry].view.probed(server, now_us);
+            self.entries[entry].view.record_probe(server, now_us);
             self.request_load(entry, server);
         }
         if now_us < self.end_us {
--- a/valetrack/src/placement/run/probe.rs
+++ b/valetrack/src/placement/run/probe.rs
@@ -57,7 +57,7 @@
         if !granted {
             return None;
         }
-        inner.services.get_mut(&name)?.view.probed(server, now);
+        inner.services.get_mut(&name)?.view.record_probe(server, now);
         self.metrics.probes.inc();
         self.metrics.measure_bytes.inc_by(PROBE_BYTES);
         Some((name, server))
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -295,7 +295,7 @@
     }
 
     /// Records that a server is being probed.
-    pub fn probed(&mut self, server: ServerIndex, now_us: u64) {
+    pub fn record_probe(&mut self, server: ServerIndex, now_us: u64) {
         if let Some(view) = self.servers.get_mut(server) {
             view.probed_us = now_us;
         }
