--- a/valetrack/src/placement/nested.rs
+++ b/valetrack/src/placement/nested.rs
@@ -66,13 +66,13 @@
     /// Returns whether a repeated run may start: each service that it calls must have enough repeats left for this run
     /// and for the repeats in progress.
     pub fn admits_repeat(&mut self, mut repeats_left: impl FnMut(&str) -> f64, now_us: u64) -> bool {
-        let runs = self.runs.within(now_us);
+        let runs = self.runs.lower_bound(now_us);
         if runs < RUNS_MIN {
             return true;
         }
         let repeats = self.repeats_permille as f64 / PERMILLE + 1.0;
         self.calls.iter_mut().all(|(service, calls)| {
-            let calls_per_run = calls.within(now_us) / runs;
+            let calls_per_run = calls.lower_bound(now_us) / runs;
             calls_per_run == 0.0 || repeats_left(service) >= calls_per_run * repeats
         })
     }
--- a/valetrack/src/placement/sliding.rs
+++ b/valetrack/src/placement/sliding.rs
@@ -27,7 +27,7 @@
     }
 
     /// Returns a lower bound of the sum over the window that ends at `now_us`.
-    pub fn within(&mut self, now_us: u64) -> f64 {
+    pub fn lower_bound(&mut self, now_us: u64) -> f64 {
         self.advance(now_us);
         let expired = slot(self.newest + 1);
         self.over(now_us) - f64::from(self.segments[expired])
--- a/valetrack/src/quota/allowance.rs
+++ b/valetrack/src/quota/allowance.rs
@@ -93,7 +93,7 @@
             return Step::Refuse { retry_after_ms };
         }
         let per_credit = CREDIT_US as f64 / DEMAND_US as f64;
-        let expected = (allowance.demand.within(now_us) * per_credit).ceil() as u32;
+        let expected = (allowance.demand.lower_bound(now_us) * per_credit).ceil() as u32;
         Step::Request { calls: expected.clamp(1, CREDITS_MAX) }
     }
 
--- a/valetrack/src/quota/home.rs
+++ b/valetrack/src/quota/home.rs
@@ -55,7 +55,7 @@
             return Grant { calls: taken, retry_after_ms: 0 };
         }
         account.refused.add(1.0, now_us);
-        let waiting = account.refused.within(now_us).max(1.0);
+        let waiting = account.refused.lower_bound(now_us).max(1.0);
         let wait_ms = (account.bucket.wait_us(waiting) / 1_000).min(WAIT_MAX_MS.into()) as u32;
         Grant { calls: 0, retry_after_ms: wait_ms.max(WAIT_MIN_MS) }
     }
