--- a/valetrack/src/placement/repeat.rs
+++ b/valetrack/src/placement/repeat.rs
@@ -104,7 +104,7 @@
 
     /// Returns the number of repeats left; negative if calls of repeated runs have exceeded the budget.
     pub fn left(&mut self, now_us: u64) -> f64 {
-        self.share * self.calls.lower_bound(now_us) + self.reserve_at(now_us) - self.repeats.over(now_us)
+        self.share * self.calls.lower_bound(now_us) + self.reserve_at(now_us) - self.repeats.upper_bound(now_us)
     }
 
     /// Returns this entry's part of the reserve at its full size.
--- a/valetrack/src/placement/sliding.rs
+++ b/valetrack/src/placement/sliding.rs
@@ -30,11 +30,11 @@
     pub fn lower_bound(&mut self, now_us: u64) -> f64 {
         self.advance(now_us);
         let expired = slot(self.newest + 1);
-        self.over(now_us) - f64::from(self.segments[expired])
+        self.upper_bound(now_us) - f64::from(self.segments[expired])
     }
 
     /// Returns an upper bound of the sum over the window that ends at `now_us`.
-    pub fn over(&mut self, now_us: u64) -> f64 {
+    pub fn upper_bound(&mut self, now_us: u64) -> f64 {
         self.advance(now_us);
         self.segments.iter().copied().map(f64::from).sum()
     }
