--- a/valetrack/src/placement/mod.rs
+++ b/valetrack/src/placement/mod.rs
@@ -7,8 +7,8 @@
 mod attempt;
 mod budget;
 mod call;
-mod crowding;
 mod driver;
+mod full_owner_share;
 mod message;
 mod nested;
 mod policy;
@@ -27,7 +27,7 @@
 
 pub use budget::RateBudget;
 pub use call::{Budgets, Call, CallContext, CallRule, RepeatsRefused};
-pub use crowding::FullOwnerShare;
+pub use full_owner_share::FullOwnerShare;
 pub use message::{
     CallAction, CallEvent, Demand, Dispatch, Outcome, PlaceJob, Placed, ReceivedLoad, SERVICE_UNKNOWN, SendCause,
     ServerIndex, Verdict,
--- a/valetrack/src/placement/tests.rs
+++ b/valetrack/src/placement/tests.rs
@@ -2,8 +2,8 @@
 
 mod budget;
 mod call;
-mod crowding;
 mod fleet;
+mod full_owner_share;
 mod service;
 mod view;
 mod waited;
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -2,7 +2,7 @@
 
 mod worth;
 
-use super::crowding::FullOwnerShare;
+use super::full_owner_share::FullOwnerShare;
 use super::message::{ReceivedLoad, ServerIndex};
 use super::policy::Policy;
 use super::set::ServerSet;
@@ -90,7 +90,7 @@
     policy: Policy,
     turn: usize,
     last_pick_us: Option<u64>,
-    crowding: FullOwnerShare,
+    full_owner_share: FullOwnerShare,
     /// Whether the traffic share of any server differs from the usual one.
     is_in_rollout: bool,
     trial: TrialShare,
@@ -104,7 +104,7 @@
             policy,
             turn: 0,
             last_pick_us: None,
-            crowding: FullOwnerShare::default(),
+            full_owner_share: FullOwnerShare::default(),
             is_in_rollout: false,
             trial: TrialShare::default(),
         }
@@ -240,12 +240,12 @@
 
     /// Records whether an attempt found a server full.
     pub fn record_full(&mut self, full: bool, now_us: u64) {
-        self.crowding.record(full, now_us);
+        self.full_owner_share.record(full, now_us);
     }
 
     /// Returns how many owners, of at most `declines_max`, may decline a call for lack of room.
     pub fn allowed_declines(&self, declines_max: u8, now_us: u64) -> u8 {
-        self.crowding.allowed_declines(declines_max, now_us)
+        self.full_owner_share.allowed_declines(declines_max, now_us)
     }
 
     /// Takes a server out of rotation at once, since its node is unreachable.
