--- a/valetrack/src/placement/mod.rs
+++ b/valetrack/src/placement/mod.rs
@@ -11,6 +11,7 @@
 mod full_owner_share;
 mod message;
 mod nested;
+mod network_cost;
 mod policy;
 mod quantile;
 mod repeat;
@@ -22,7 +23,6 @@
 mod tests;
 mod view;
 mod waited;
-mod way;
 mod work;
 
 pub use budget::RateBudget;
--- a/valetrack/src/placement/view/worth.rs
+++ b/valetrack/src/placement/view/worth.rs
@@ -3,9 +3,9 @@
 use super::{ASSUMED_LIMIT, MAX_SERVERS, STALL_PENALTY_US, ServerView, ServiceView, pick_where, wait_us};
 use crate::gate::{LoadReport, Pace, fading};
 use crate::placement::message::{Demand, ServerIndex};
+use crate::placement::network_cost::network_cost;
 use crate::placement::policy::Policy;
 use crate::placement::set::ServerSet;
-use crate::placement::way::network_cost;
 
 /// Utilities that differ by less count as equal.
 const TIE_UTILITY: f64 = 0.01;
