--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -1,6 +1,6 @@
 //! View of the servers of one service at an entry, and server selection.
 
-mod worth;
+mod utility;
 
 use super::full_owner_share::FullOwnerShare;
 use super::message::{ReceivedLoad, ServerIndex};
