--- a/valetrack/src/placement/service.rs
+++ b/valetrack/src/placement/service.rs
@@ -72,7 +72,7 @@
             };
             self.view.set_present(server, true, network_us);
             self.view.set_cross_domain(server, &*candidate.domain != domain);
-            self.view.set_part(server, candidate.part);
+            self.view.set_traffic_share(server, candidate.part);
             self.targets[server] = Some(candidate);
         }
         for (server, _) in kept.iter().enumerate().filter(|(_, kept)| !**kept) {
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -57,7 +57,7 @@
     ejections: u32,
     probed_us: u64,
     /// Traffic share while its service is rolled out.
-    part: ServerPart,
+    traffic_share: ServerPart,
 }
 
 const EMPTY: ServerView = ServerView {
@@ -73,7 +73,7 @@
     ejected_until_us: 0,
     ejections: 0,
     probed_us: 0,
-    part: ServerPart::Usual,
+    traffic_share: ServerPart::Usual,
 };
 
 impl ServerView {
@@ -136,11 +136,11 @@
     }
 
     /// Sets the traffic share of a server while its service is rolled out.
-    pub fn set_part(&mut self, server: ServerIndex, part: ServerPart) {
+    pub fn set_traffic_share(&mut self, server: ServerIndex, traffic_share: ServerPart) {
         if let Some(view) = self.servers.get_mut(server) {
-            view.part = part;
+            view.traffic_share = traffic_share;
         }
-        self.is_in_rollout = self.servers.iter().any(|view| view.present && view.part != ServerPart::Usual);
+        self.is_in_rollout = self.servers.iter().any(|view| view.present && view.traffic_share != ServerPart::Usual);
     }
 
     /// Sets the numbers of servers on trial and of other servers. `start_permille` is the point at which this entry
@@ -154,13 +154,13 @@
         self.is_in_rollout && self.trial.takes_next()
     }
 
-    /// Returns the servers that have another traffic share than `part`.
-    pub fn servers_without(&self, part: ServerPart) -> ServerSet {
+    /// Returns the servers whose traffic share differs from `traffic_share`.
+    pub fn servers_without(&self, traffic_share: ServerPart) -> ServerSet {
         let mut servers_without = ServerSet::default();
         if !self.is_in_rollout {
             return servers_without;
         }
-        for (server, _) in self.servers.iter().enumerate().filter(|(_, view)| view.part != part) {
+        for (server, _) in self.servers.iter().enumerate().filter(|(_, view)| view.traffic_share != traffic_share) {
             servers_without.insert(server);
         }
         servers_without
