--- a/valetrack/src/claim/mod.rs
+++ b/valetrack/src/claim/mod.rs
@@ -7,9 +7,9 @@
 mod continuity;
 mod entry;
 mod message;
-mod news;
 pub mod rank;
 mod recovery;
+mod report;
 pub mod run;
 mod state;
 #[cfg(test)]
@@ -21,5 +21,5 @@
     ClaimAction, ClaimEvent, ClaimJob, Holder, Home, KeptAnswer, KeyDigest, KeyedCallId, KeyedCallReply, Page,
     PageEntry, Record, RunEnd,
 };
-pub use news::{ClaimNews, ClaimState, PeerClaims, PeerNews};
+pub use report::{ClaimNews, ClaimState, PeerClaims, PeerNews};
 pub use state::PageHome;
--- a/valetrack/src/claim/run.rs
+++ b/valetrack/src/claim/run.rs
@@ -19,8 +19,8 @@
 use super::message::{
     ClaimAction, ClaimEvent, ClaimJob, Holder, Home, KeptAnswer, KeyDigest, KeyedCallId, KeyedCallReply, Page, RunEnd,
 };
-use super::news::ClaimState;
 use super::rank::{PAGES, call_digest, digest, page_of, rank, store_key};
+use super::report::ClaimState;
 use super::state::PageHome;
 use crate::bundle::{ClaimMode, InForce};
 use crate::clock::{SuspensionWatch, now_us, suspended_us, wall_us};
--- a/valetrack/src/claim/run/history.rs
+++ b/valetrack/src/claim/run/history.rs
@@ -6,9 +6,9 @@
 
 use super::super::continuity::{ClaimOutcome, Continuity, StoreAnswer};
 use super::super::message::ClaimEvent;
-use super::super::news::ClaimState;
 use super::super::rank::PAGES;
 use super::super::recovery::{GapStatus, OpenGap, Recovery, VmIncarnations};
+use super::super::report::ClaimState;
 use super::super::state::PageHome;
 use super::{Completion, Shell};
 use crate::clock::now_us;
