--- a/standin/src/slope.rs
+++ b/standin/src/slope.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use valetrack::bundle::check;
-use valetrack::claim::{ClaimNews, KeptAnswer, KeyDigest, Page, PageEntry, Record};
+use valetrack::claim::{ClaimReport, KeptAnswer, KeyDigest, Page, PageEntry, Record};
 use valetrack::gate::{AttemptId, Gate, GateConfig, GateEvent, LoadReport, Patience};
 use valetrack::link::codec::pack;
 use valetrack::link::message::{Ask, Reply, ReplyHead, Riding};
@@ -112,7 +112,7 @@
             members: list,
             evacuation: Evacuation::default(),
             bundle: 21_000,
-            claims: ClaimNews::default(),
+            claims: ClaimReport::default(),
         };
         let bytes = pack(&ask).map_or(0, |frame| frame.len());
         row("exchange of views, members", size, bytes, &cost(2_000, || pack(&ask)));
--- a/valetrack/src/claim/report.rs
+++ b/valetrack/src/claim/report.rs
@@ -9,7 +9,7 @@
 
 /// A node's report about its pages, as part of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ClaimNews {
+pub struct ClaimReport {
     /// The node's attestation of the store's history; `None` before the store has answered it.
     pub history: Option<Attestation>,
     /// Whether the node's first connection to the store since its start is still open.
@@ -33,8 +33,8 @@
 
 impl ClaimState {
     /// Returns the report for a message that is sent at `now_us`.
-    pub fn news(&self, now_us: u64) -> ClaimNews {
-        ClaimNews {
+    pub fn news(&self, now_us: u64) -> ClaimReport {
+        ClaimReport {
             history: self.continuity.attestation(now_us),
             is_first_contact: self.continuity.is_first(),
             remembers: self.remembers,
@@ -51,7 +51,7 @@
     /// When the request was sent that the node answered. The report was made after that time.
     pub asked_us: u64,
     /// The report.
-    pub news: ClaimNews,
+    pub news: ClaimReport,
 }
 
 /// The last reports of all other nodes.
@@ -70,7 +70,7 @@
     }
 
     /// Records an unrequested report. It may be much older than its arrival, so only its request for reports counts.
-    pub fn note_asking(&mut self, news: ClaimNews, now_us: u64) {
+    pub fn note_asking(&mut self, news: ClaimReport, now_us: u64) {
         if news.is_asking {
             self.requested_us = now_us;
         }
--- a/valetrack/src/link/message.rs
+++ b/valetrack/src/link/message.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::claim::ClaimNews;
+use crate::claim::ClaimReport;
 use crate::crash::CrashReport;
 use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport, Patience};
 use crate::member::{Evacuation, Member};
@@ -128,7 +128,7 @@
         /// Number of the bundle in force at the sender.
         bundle: u64,
         /// State of the sender's claim pages.
-        claims: ClaimNews,
+        claims: ClaimReport,
     },
     /// Requests the bundle in force.
     Bundle,
@@ -208,7 +208,7 @@
         /// Evacuated failure domains recorded at the sender.
         evacuation: Evacuation,
         /// State of the sender's claim pages.
-        claims: ClaimNews,
+        claims: ClaimReport,
     },
     /// Evacuated failure domains.
     Evacuation(Evacuation),
--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -30,7 +30,7 @@
 use super::role::AvoidReason;
 use super::state::Members;
 use crate::bundle::{Adopter, BundleFormat};
-use crate::claim::ClaimNews;
+use crate::claim::ClaimReport;
 use crate::clock::now_us;
 use crate::crash::CrashJob;
 use crate::gate::{UpstreamPhase, UpstreamState};
@@ -218,7 +218,7 @@
                 }
                 if let Some(reply) = reply {
                     // The receiver may have been dropped.
-                    let _ = reply.send(Known { members: self.digest(), claims: ClaimNews::default() });
+                    let _ = reply.send(Known { members: self.digest(), claims: ClaimReport::default() });
                 }
             }
             MemberJob::Bundle { number, from } => self.on_bundle_announced(number, from),
@@ -291,7 +291,7 @@
             members: self.digest(),
             evacuation,
             bundle: self.adopter.number(),
-            claims: ClaimNews::default(),
+            claims: ClaimReport::default(),
         };
         // A lost request is harmless: the peer's next reply shows again that it lacks the bundle.
         let _ = self.request(peer.clone(), Question { ask, body: Bytes::new() }).await;
--- a/valetrack/src/member/message.rs
+++ b/valetrack/src/member/message.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 use super::evacuation::Evacuation;
-use crate::claim::ClaimNews;
+use crate::claim::ClaimReport;
 use crate::link::peer::Target;
 use crate::rollout::ServerPart;
 use crate::store::Position;
@@ -123,7 +123,7 @@
     /// VMs that it has recorded, its own first.
     pub members: Vec<Member>,
     /// Its report on its pages of claims.
-    pub claims: ClaimNews,
+    pub claims: ClaimReport,
 }
 
 /// Reply to a node that follows this one.
@@ -154,7 +154,7 @@
         /// Number of the bundle in force there.
         bundle: u64,
         /// Its report on its pages of claims.
-        claims: ClaimNews,
+        claims: ClaimReport,
         /// Receives this node's own state.
         reply: Option<oneshot::Sender<Known>>,
     },
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -15,7 +15,7 @@
 use super::message::{FollowerNews, Known, Member, MemberJob, Phase};
 use super::state::Members;
 use crate::bundle::run::Bundler;
-use crate::claim::{ClaimNews, ClaimState, PeerNews};
+use crate::claim::{ClaimReport, ClaimState, PeerNews};
 use crate::clock::now_us;
 use crate::jobs::Duties;
 use crate::link::message::{Ask, Question, Reply};
@@ -209,7 +209,7 @@
         }
     }
 
-    fn claim_report(&self) -> ClaimNews {
+    fn claim_report(&self) -> ClaimReport {
         self.parts.claims.borrow().news(now_us())
     }
 
