--- a/valetrack/src/claim/mod.rs
+++ b/valetrack/src/claim/mod.rs
@@ -21,5 +21,5 @@
     ClaimAction, ClaimEvent, ClaimJob, Holder, Home, KeptAnswer, KeyDigest, KeyedCallId, KeyedCallReply, Page,
     PageEntry, Record, RunEnd,
 };
-pub use report::{ClaimReport, ClaimState, PeerClaims, PeerNews};
+pub use report::{ClaimReport, ClaimState, PeerClaims, PeerReport};
 pub use state::PageHome;
--- a/valetrack/src/claim/report.rs
+++ b/valetrack/src/claim/report.rs
@@ -45,7 +45,7 @@
 
 /// The last report of another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerNews {
+pub struct PeerReport {
     /// Incarnation of the node.
     pub incarnation: u64,
     /// When the request was sent that the node answered. The report was made after that time.
@@ -57,14 +57,14 @@
 /// The last reports of all other nodes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PeerClaims {
-    replies: BTreeMap<Arc<str>, PeerNews>,
+    replies: BTreeMap<Arc<str>, PeerReport>,
     /// When a node last requested reports.
     requested_us: u64,
 }
 
 impl PeerClaims {
     /// Records a node's reply to a request.
-    pub fn reply(&mut self, vm: &Arc<str>, reply: PeerNews, now_us: u64) {
+    pub fn reply(&mut self, vm: &Arc<str>, reply: PeerReport, now_us: u64) {
         self.note_asking(reply.news, now_us);
         self.replies.insert(vm.clone(), reply);
     }
@@ -82,12 +82,12 @@
     }
 
     /// Returns the last reply of a node.
-    pub fn of(&self, vm: &str) -> Option<&PeerNews> {
+    pub fn of(&self, vm: &str) -> Option<&PeerReport> {
         self.replies.get(vm)
     }
 
     /// Returns the last replies of all nodes.
-    pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &PeerNews)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &PeerReport)> {
         self.replies.iter()
     }
 }
--- a/valetrack/src/claim/tests/continuity.rs
+++ b/valetrack/src/claim/tests/continuity.rs
@@ -5,7 +5,7 @@
 
 use crate::claim::continuity::{Attestation, ClaimOutcome, Continuity, StoreAnswer};
 use crate::claim::recovery::{GapStatus, OpenGap, Recovery, VmIncarnations};
-use crate::claim::{ClaimReport, PeerNews};
+use crate::claim::{ClaimReport, PeerReport};
 use crate::member::{Member, Members, Phase};
 use crate::store::{Era, HistoryName, Position};
 
@@ -104,7 +104,7 @@
 
     fn report(&mut self, vm: &str, asked_us: u64, remembers: u8, is_first_contact: bool) {
         let news = ClaimReport { remembers, is_first_contact, ..ClaimReport::default() };
-        let peer = PeerNews { incarnation: 1, asked_us, news };
+        let peer = PeerReport { incarnation: 1, asked_us, news };
         self.members.claims_mut().reply(&Arc::from(vm), peer, asked_us);
     }
 
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -15,7 +15,7 @@
 use super::message::{FollowerNews, Known, Member, MemberJob, Phase};
 use super::state::Members;
 use crate::bundle::run::Bundler;
-use crate::claim::{ClaimReport, ClaimState, PeerNews};
+use crate::claim::{ClaimReport, ClaimState, PeerReport};
 use crate::clock::now_us;
 use crate::jobs::Duties;
 use crate::link::message::{Ask, Question, Reply};
@@ -305,7 +305,7 @@
         self.on_evacuation_received(&evacuation);
         if let Some(first) = members.first().cloned() {
             self.record_contact(&first, answered.head.riding.bundle);
-            let report = PeerNews { incarnation: first.incarnation, asked_us, news: claims };
+            let report = PeerReport { incarnation: first.incarnation, asked_us, news: claims };
             self.members.borrow_mut().claims_mut().reply(&first.vm, report, now_us());
         }
         self.merge(&members);
