--- a/valetrack/src/claim/run.rs
+++ b/valetrack/src/claim/run.rs
@@ -78,7 +78,7 @@
     /// The member list.
     pub members: watch::Receiver<Arc<Members>>,
     /// State from which the reports to other nodes are made.
-    pub said: watch::Sender<ClaimState>,
+    pub claim_state: watch::Sender<ClaimState>,
     /// Turns true when this node leaves.
     pub leaving: watch::Receiver<bool>,
     /// Turns true when every page is handed over.
--- a/valetrack/src/claim/run/history.rs
+++ b/valetrack/src/claim/run/history.rs
@@ -241,7 +241,7 @@
     /// Requests reports of the other nodes again while calls wait for them.
     pub(super) fn resend_request(&mut self) {
         if self.is_asking() {
-            self.parts.said.send_modify(|_| {});
+            self.parts.claim_state.send_modify(|_| {});
         }
     }
 
@@ -251,9 +251,9 @@
         let remembers = self.pages.iter().fold(0, remembers);
         let is_asking = self.is_asking();
         let continuity = self.history.continuity.clone();
-        self.parts.said.send_if_modified(|said| {
-            let has_changed = said.remembers != remembers || said.is_asking != is_asking;
-            *said = ClaimState { continuity, remembers, is_asking };
+        self.parts.claim_state.send_if_modified(|claim_state| {
+            let has_changed = claim_state.remembers != remembers || claim_state.is_asking != is_asking;
+            *claim_state = ClaimState { continuity, remembers, is_asking };
             has_changed
         });
     }
--- a/valetrack/src/node/start.rs
+++ b/valetrack/src/node/start.rs
@@ -159,7 +159,7 @@
             silent_us: settings.silent_ms * 1000,
             bundle: self.bundle.subscribe(),
             members: self.members.subscribe(),
-            said: self.claims.clone(),
+            claim_state: self.claims.clone(),
             leaving: self.stages.leaving.subscribe(),
             released: self.stages.released.clone(),
             closing: self.stages.closing.subscribe(),
