--- a/valetrack/src/bundle/run.rs
+++ b/valetrack/src/bundle/run.rs
@@ -15,7 +15,7 @@
 use crate::code::Code;
 use crate::member::{Evacuation, Members};
 use crate::metric::Metrics;
-use crate::store::{Found, Store, Versioned, WatchNews, Written};
+use crate::store::{Found, Store, Versioned, WatchUpdate, Written};
 
 /// Nodes of each failure domain that watch the store.
 const WATCHERS: usize = 2;
@@ -157,7 +157,7 @@
     /// replaced.
     async fn watch(&self, from_revision: u64) {
         self.metrics.store_calls.with_label_values(&["watch"]).inc();
-        let (updates, mut changes) = mpsc::channel::<WatchNews>(16);
+        let (updates, mut changes) = mpsc::channel::<WatchUpdate>(16);
         let follow = async {
             while let Some(change) = changes.recv().await {
                 let Some(doc) = change.value.as_ref().and_then(read_doc) else {
--- a/valetrack/src/bundle/tests/fake.rs
+++ b/valetrack/src/bundle/tests/fake.rs
@@ -6,7 +6,7 @@
 use futures::future::BoxFuture;
 use tokio::sync::mpsc;
 
-use crate::store::{Era, Found, HistoryName, Position, Store, StoreError, Versioned, WatchNews, Written};
+use crate::store::{Era, Found, HistoryName, Position, Store, StoreError, Versioned, WatchUpdate, Written};
 
 /// Outcome of one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -141,7 +141,7 @@
         &'a self,
         _key: &'a str,
         _from_revision: u64,
-        _updates: mpsc::Sender<WatchNews>,
+        _updates: mpsc::Sender<WatchUpdate>,
     ) -> BoxFuture<'a, Result<(), StoreError>> {
         Box::pin(async { Ok(()) })
     }
--- a/valetrack/src/store/client.rs
+++ b/valetrack/src/store/client.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{Mutex, mpsc};
 use tokio::time::timeout;
 
-use super::message::{Found, HistoryName, Store, StoreError, Versioned, WatchNews, Written};
+use super::message::{Found, HistoryName, Store, StoreError, Versioned, WatchUpdate, Written};
 use super::position::{Era, Position};
 
 /// Largest answer that the client reads. A value of one megabyte fits in base64 with room to spare.
@@ -166,7 +166,7 @@
         &self,
         key: &str,
         from_revision: u64,
-        updates: mpsc::Sender<WatchNews>,
+        updates: mpsc::Sender<WatchUpdate>,
     ) -> Result<(), StoreError> {
         let body = json!({ "create_request": {
             "key": STANDARD.encode(key),
@@ -217,7 +217,7 @@
         &'a self,
         key: &'a str,
         from_revision: u64,
-        updates: mpsc::Sender<WatchNews>,
+        updates: mpsc::Sender<WatchUpdate>,
     ) -> BoxFuture<'a, Result<(), StoreError>> {
         Box::pin(self.watch_once(key, from_revision, updates))
     }
@@ -252,7 +252,7 @@
 async fn forward_changes(
     lines: &mut Vec<u8>,
     from_revision: u64,
-    updates: &mpsc::Sender<WatchNews>,
+    updates: &mpsc::Sender<WatchUpdate>,
 ) -> Result<bool, StoreError> {
     while let Some(end) = lines.iter().position(|&byte| byte == b'\n') {
         let line: Vec<u8> = lines.drain(..=end).collect();
@@ -273,7 +273,7 @@
                 Some(kv) if !deleted => Some(parse_kv(kv, Era::default())?),
                 Some(_) | None => None,
             };
-            if updates.send(WatchNews { value }).await.is_err() {
+            if updates.send(WatchUpdate { value }).await.is_err() {
                 return Ok(false);
             }
         }
--- a/valetrack/src/store/message.rs
+++ b/valetrack/src/store/message.rs
@@ -103,7 +103,7 @@
 
 /// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WatchNews {
+pub struct WatchUpdate {
     /// The new value; `None` if the key was deleted.
     pub value: Option<Versioned>,
 }
@@ -127,7 +127,7 @@
         &'a self,
         key: &'a str,
         from_revision: u64,
-        updates: mpsc::Sender<WatchNews>,
+        updates: mpsc::Sender<WatchUpdate>,
     ) -> BoxFuture<'a, Result<(), StoreError>>;
 
     /// Ends the era, so that the next call begins another one. For callers that have detected a store rollback.
--- a/valetrack/src/store/mod.rs
+++ b/valetrack/src/store/mod.rs
@@ -15,5 +15,5 @@
     Change, Changes, Committed, Freshness, Item, Lease, LeaseStore, LeasedChange, LeasedWrite, Page, TRANSACTION_MAX,
     Transacted,
 };
-pub use message::{Found, HistoryName, Store, StoreError, Versioned, WatchNews, Written};
+pub use message::{Found, HistoryName, Store, StoreError, Versioned, WatchUpdate, Written};
 pub use position::{Era, Position, Relation};
