--- a/valetrack/src/member/relay.rs
+++ b/valetrack/src/member/relay.rs
@@ -137,7 +137,7 @@
     /// They are applied only if they continue from the log's position. An answer of a later era holds the changes after
     /// the same revision, but neither the changes that the rollback lost nor those written in their place.
     pub fn apply(&mut self, changes: &[Change], after: Position, at: Position, confirmed_us: u64) -> ApplyOutcome {
-        if at.era() == self.at.era() && (self.at.is_start() || after.relation_to(self.at).is_gap()) {
+        if at.era() == self.at.era() && (self.at.is_start() || after.relation_to(self.at).misses_changes()) {
             return ApplyOutcome::Disconnected;
         }
         match at.relation_to(self.at) {
--- a/valetrack/src/store/position.rs
+++ b/valetrack/src/store/position.rs
@@ -56,7 +56,7 @@
 
 impl Relation {
     /// Returns whether a list of changes that starts at the one position misses changes since the other one.
-    pub const fn is_gap(self) -> bool {
+    pub const fn misses_changes(self) -> bool {
         match self {
             Self::Before | Self::Same => false,
             Self::EarlierEra | Self::Behind | Self::LaterEra => true,
