--- a/valetrack/src/member/lease.rs
+++ b/valetrack/src/member/lease.rs
@@ -234,7 +234,7 @@
         }
         match self.position.map(|known| entry.position.relation_to(known)) {
             Some(Relation::LaterEra) => self.seen_after_rollback(entry),
-            Some(Relation::Behind) | None => self.position = Some(entry.position),
+            Some(Relation::After) | None => self.position = Some(entry.position),
             Some(Relation::EarlierEra | Relation::Before | Relation::Same) => {}
         }
     }
--- a/valetrack/src/member/relay.rs
+++ b/valetrack/src/member/relay.rs
@@ -144,7 +144,7 @@
             // `Before` occurs when the relay has read less than this node.
             Relation::EarlierEra | Relation::Before => return ApplyOutcome::Outdated,
             Relation::LaterEra => return ApplyOutcome::Disconnected,
-            Relation::Same | Relation::Behind => self.at = at,
+            Relation::Same | Relation::After => self.at = at,
         }
         for change in changes {
             match change {
@@ -238,7 +238,7 @@
     pub fn since(&self, after: Position) -> StoreNews {
         let is_continuous = match after.relation_to(self.at) {
             Relation::Before | Relation::Same => !self.complete_after.supersedes(after),
-            Relation::Behind | Relation::EarlierEra | Relation::LaterEra => false,
+            Relation::After | Relation::EarlierEra | Relation::LaterEra => false,
         };
         let changes = match is_continuous {
             true => self.changes.iter().filter(|change| change.position().supersedes(after)).cloned().collect(),
--- a/valetrack/src/store/position.rs
+++ b/valetrack/src/store/position.rs
@@ -49,7 +49,7 @@
     /// Both positions are equal.
     Same,
     /// The position is after the other one in the same era.
-    Behind,
+    After,
     /// The position is of a later era, regardless of the revisions.
     LaterEra,
 }
@@ -59,7 +59,7 @@
     pub const fn misses_changes(self) -> bool {
         match self {
             Self::Before | Self::Same => false,
-            Self::EarlierEra | Self::Behind | Self::LaterEra => true,
+            Self::EarlierEra | Self::After | Self::LaterEra => true,
         }
     }
 }
@@ -98,13 +98,13 @@
             (Greater, _) => Relation::LaterEra,
             (Equal, Less) => Relation::Before,
             (Equal, Equal) => Relation::Same,
-            (Equal, Greater) => Relation::Behind,
+            (Equal, Greater) => Relation::After,
         }
     }
 
     /// Returns whether a value at this position replaces a value at another position.
     pub fn supersedes(self, other: Self) -> bool {
-        matches!(self.relation_to(other), Relation::Behind | Relation::LaterEra)
+        matches!(self.relation_to(other), Relation::After | Relation::LaterEra)
     }
 
     /// Returns the number of revisions since another position of the same era.
