--- a/valetrack/src/member/leased/keep.rs
+++ b/valetrack/src/member/leased/keep.rs
@@ -10,7 +10,7 @@
 use crate::clock::now_us;
 use crate::code::Code;
 use crate::member::{Batch, EntryDoc, EntryStep, entry_key};
-use crate::store::{Committed, Era, Freshness, LeasedWrite, Position, StoreError, Transacted};
+use crate::store::{Committed, Era, Freshness, LeasedWrite, Position, StoreError, TransactionOutcome};
 
 /// Time limit for the removal of the entry when the node stops.
 const WITHDRAW_MS: u64 = 300;
@@ -174,12 +174,12 @@
         }
         self.count("write-followers");
         match self.parts.store.transact(&batch.changes).await? {
-            Transacted::At(position) => {
+            TransactionOutcome::At(position) => {
                 log::info!("event=member.entries_written position={position} nodes={}", batch.names());
                 self.call_answered(position.era());
                 self.registrar.borrow_mut().wrote(&batch, position);
             }
-            Transacted::Conflict(found) => {
+            TransactionOutcome::Conflict(found) => {
                 let known = self.keeper.borrow().era();
                 let era = found.iter().find_map(|(_, position)| *position).map_or(known, Position::era);
                 self.call_answered(era);
--- a/valetrack/src/member/leased/rollout.rs
+++ b/valetrack/src/member/leased/rollout.rs
@@ -17,7 +17,7 @@
 use crate::rollout::{
     DOC_PREFIX, Decision, Evidence, Progress, RolloutDoc, RolloutStage, RouteRuns, Stage, decide, doc_key,
 };
-use crate::store::{Change, Item, LeasedChange, LeasedWrite, StoreError, Transacted};
+use crate::store::{Change, Item, LeasedChange, LeasedWrite, StoreError, TransactionOutcome};
 
 /// Pause between two checks of a roll-out: a bad version is rolled back within this time plus the time in which nodes
 /// receive the decision.
@@ -223,11 +223,13 @@
         let changes = [put(doc_key(&order.service), rollout.doc_at, value), put(status_key, status_at, status)];
         self.count("rollout");
         match self.parts.store.transact(&changes).await? {
-            Transacted::At(position) => {
+            TransactionOutcome::At(position) => {
                 self.store_answered(position.era());
                 Ok(())
             }
-            Transacted::Conflict(_) => Err(StoreError::Refused { reason: "another node wrote a stage first".into() }),
+            TransactionOutcome::Conflict(_) => {
+                Err(StoreError::Refused { reason: "another node wrote a stage first".into() })
+            }
         }
     }
 }
--- a/valetrack/src/store/lease.rs
+++ b/valetrack/src/store/lease.rs
@@ -137,7 +137,7 @@
 
 /// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Transacted {
+pub enum TransactionOutcome {
     /// All changes took effect at this position.
     At(Position),
     /// A condition failed and nothing changed. Lists the current position of each key in the transaction; `None` for a
@@ -198,7 +198,7 @@
 
     /// Makes up to [`TRANSACTION_MAX`] changes, all or none. Fails with [`StoreError::LeaseOver`] if a lease in the
     /// changes has ended.
-    fn transact<'a>(&'a self, changes: &'a [LeasedChange]) -> BoxFuture<'a, Result<Transacted, StoreError>>;
+    fn transact<'a>(&'a self, changes: &'a [LeasedChange]) -> BoxFuture<'a, Result<TransactionOutcome, StoreError>>;
 
     /// Writes a key under a condition. Fails with [`StoreError::LeaseOver`] if the lease has ended.
     fn commit<'a>(&'a self, write: &'a LeasedWrite) -> BoxFuture<'a, Result<Committed, StoreError>>;
--- a/valetrack/src/store/mod.rs
+++ b/valetrack/src/store/mod.rs
@@ -13,7 +13,7 @@
 pub use client::HttpStore;
 pub use lease::{
     Change, Changes, Committed, Freshness, Item, Lease, LeaseStore, LeasedChange, LeasedWrite, Page, TRANSACTION_MAX,
-    Transacted,
+    TransactionOutcome,
 };
 pub use message::{Found, HistoryName, Store, StoreError, Versioned, WatchUpdate, Written};
 pub use position::{Era, Position, Relation};
