--- a/valetrack/src/crash/archive.rs
+++ b/valetrack/src/crash/archive.rs
@@ -5,7 +5,7 @@
 use futures::future::BoxFuture;
 
 use super::message::CrashReport;
-use crate::store::{Committed, Freshness, LeaseStore, LeasedWrite, Position, Store, StoreError, Written};
+use crate::store::{CommitOutcome, Freshness, LeaseStore, LeasedWrite, Position, Store, StoreError, Written};
 
 /// Prefix of the keys, each of which ends with the name of a service.
 pub const CRASH_PREFIX: &str = "valetrack/crash/";
@@ -99,7 +99,7 @@
     ) -> BoxFuture<'a, Result<bool, StoreError>> {
         Box::pin(async move {
             let write = LeasedWrite { key: key.to_owned(), expected, value, lease: None };
-            let Committed::At(at) = self.0.commit(&write).await? else {
+            let CommitOutcome::At(at) = self.0.commit(&write).await? else {
                 return Ok(false);
             };
             // After a store rollback in between, another value may have been stored at that revision. The caller reads it
--- a/valetrack/src/member/leased/keep.rs
+++ b/valetrack/src/member/leased/keep.rs
@@ -10,7 +10,7 @@
 use crate::clock::now_us;
 use crate::code::Code;
 use crate::member::{Batch, EntryDoc, EntryStep, entry_key};
-use crate::store::{Committed, Era, Freshness, LeasedWrite, Position, StoreError, TransactionOutcome};
+use crate::store::{CommitOutcome, Era, Freshness, LeasedWrite, Position, StoreError, TransactionOutcome};
 
 /// Time limit for the removal of the entry when the node stops.
 const WITHDRAW_MS: u64 = 300;
@@ -127,13 +127,13 @@
         let write = LeasedWrite { key: entry_key(&entry.member.vm), expected, value, lease: Some(lease) };
         self.count("write");
         match self.parts.store.commit(&write).await? {
-            Committed::At(position) => {
+            CommitOutcome::At(position) => {
                 let phase = entry.member.phase.as_str();
                 log::info!("event=member.entry_written phase={phase} position={position} lease={lease}");
                 self.call_answered(position.era());
                 self.keeper.borrow_mut().wrote(version, position);
             }
-            Committed::Conflict(position) => {
+            CommitOutcome::Conflict(position) => {
                 let known = self.keeper.borrow().era();
                 self.call_answered(position.map_or(known, Position::era));
                 self.keeper.borrow_mut().conflicted(position);
@@ -220,8 +220,8 @@
         while let Some(position) = expected {
             self.count("remove");
             expected = match self.parts.store.remove(&key, position).await? {
-                Committed::At(_) => None,
-                Committed::Conflict(found) => found,
+                CommitOutcome::At(_) => None,
+                CommitOutcome::Conflict(found) => found,
             };
         }
         Ok(())
--- a/valetrack/src/store/lease.rs
+++ b/valetrack/src/store/lease.rs
@@ -150,7 +150,7 @@
 
 /// Outcome of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Committed {
+pub enum CommitOutcome {
     /// The write took effect at this position.
     At(Position),
     /// The condition failed and nothing changed. Holds the key's current position; `None` if the key doesn't exist.
@@ -194,12 +194,12 @@
 
     /// Removes a key if its last change is still at `expected`. The lease is left to expire, because its id may belong
     /// to another lease by now.
-    fn remove<'a>(&'a self, key: &'a str, expected: Position) -> BoxFuture<'a, Result<Committed, StoreError>>;
+    fn remove<'a>(&'a self, key: &'a str, expected: Position) -> BoxFuture<'a, Result<CommitOutcome, StoreError>>;
 
     /// Makes up to [`TRANSACTION_MAX`] changes, all or none. Fails with [`StoreError::LeaseOver`] if a lease in the
     /// changes has ended.
     fn transact<'a>(&'a self, changes: &'a [LeasedChange]) -> BoxFuture<'a, Result<TransactionOutcome, StoreError>>;
 
     /// Writes a key under a condition. Fails with [`StoreError::LeaseOver`] if the lease has ended.
-    fn commit<'a>(&'a self, write: &'a LeasedWrite) -> BoxFuture<'a, Result<Committed, StoreError>>;
+    fn commit<'a>(&'a self, write: &'a LeasedWrite) -> BoxFuture<'a, Result<CommitOutcome, StoreError>>;
 }
--- a/valetrack/src/store/mod.rs
+++ b/valetrack/src/store/mod.rs
@@ -12,8 +12,8 @@
 
 pub use client::HttpStore;
 pub use lease::{
-    Change, Changes, Committed, Freshness, Item, Lease, LeaseStore, LeasedChange, LeasedWrite, Page, TRANSACTION_MAX,
-    TransactionOutcome,
+    Change, Changes, CommitOutcome, Freshness, Item, Lease, LeaseStore, LeasedChange, LeasedWrite, Page,
+    TRANSACTION_MAX, TransactionOutcome,
 };
 pub use message::{Found, HistoryName, Store, StoreError, Versioned, WatchUpdate, Written};
 pub use position::{Era, Position, Relation};
