--- a/valetrack/src/bundle/operator.rs
+++ b/valetrack/src/bundle/operator.rs
@@ -12,7 +12,7 @@
 use crate::clock::wall_us;
 use crate::code::Code;
 use crate::member::Evacuation;
-use crate::store::{Found, Position, Store, StoreError, Written};
+use crate::store::{Found, Position, Store, StoreError, SwapOutcome};
 
 /// Most publications that a copy of the store may lack: those of some 47 days at 21,000 a day.
 const LOST_PUBLICATIONS_MAX: u64 = 1_000_000;
@@ -197,9 +197,9 @@
         doc.evacuation.number += 1;
         let value = serde_json::to_vec(&doc).unwrap_or_default();
         match store.swap(CURRENT_KEY, Some(found.position()), value).await {
-            Ok(Written::At(_)) => return Ok(doc.evacuation.number),
+            Ok(SwapOutcome::At(_)) => return Ok(doc.evacuation.number),
             // Only the store shows whether the write took effect and what others wrote.
-            Ok(Written::Refused) | Err(StoreError::Lost { .. }) => {}
+            Ok(SwapOutcome::Refused) | Err(StoreError::Lost { .. }) => {}
             Err(error) => return Err(error.into()),
         }
     }
@@ -269,8 +269,8 @@
     for _ in 0..TRIES {
         let value = serde_json::to_vec(&next).unwrap_or_default();
         match store.swap(CURRENT_KEY, Some(expected), value).await {
-            Ok(Written::At(_)) => return Ok(next.number),
-            Ok(Written::Refused) | Err(StoreError::Lost { .. }) => {}
+            Ok(SwapOutcome::At(_)) => return Ok(next.number),
+            Ok(SwapOutcome::Refused) | Err(StoreError::Lost { .. }) => {}
             Err(error) => return Err(error.into()),
         }
         // Only the store shows whether the write took effect.
@@ -330,7 +330,7 @@
     let mut last = StoreError::Lost { reason: "not tried".into() };
     for _ in 0..TRIES {
         match store.swap(key, None, value.clone()).await {
-            Ok(Written::At(_) | Written::Refused) => return Ok(()),
+            Ok(SwapOutcome::At(_) | SwapOutcome::Refused) => return Ok(()),
             Err(error @ StoreError::Lost { .. }) => last = error,
             Err(error) => return Err(error.into()),
         }
--- a/valetrack/src/bundle/run.rs
+++ b/valetrack/src/bundle/run.rs
@@ -15,7 +15,7 @@
 use crate::code::Code;
 use crate::member::{Evacuation, Members};
 use crate::metric::Metrics;
-use crate::store::{Found, Store, Versioned, WatchUpdate, Written};
+use crate::store::{Found, Store, SwapOutcome, Versioned, WatchUpdate};
 
 /// Nodes of each failure domain that watch the store.
 const WATCHERS: usize = 2;
@@ -126,14 +126,14 @@
         self.metrics.store_calls.with_label_values(&["write"]).inc();
         let value = serde_json::to_vec(&next).unwrap_or_default();
         match self.store.swap(CURRENT_KEY, Some(found.position()), value).await {
-            Ok(Written::At(at)) => {
+            Ok(SwapOutcome::At(at)) => {
                 log::warn!("event=bundle.store_recovered number={} version={}", next.number, next.version);
                 self.published_history.borrow_mut().remember(&next);
                 self.apply_doc(&next).await;
                 Ok(at.wire_revision())
             }
             // Another node or an operator was faster; the document is read again.
-            Ok(Written::Refused) => Err(()),
+            Ok(SwapOutcome::Refused) => Err(()),
             Err(error) => {
                 log::warn!("event=bundle.recover_failed code={} reason=\"{error}\"", error.code());
                 Err(())
--- a/valetrack/src/bundle/tests/fake.rs
+++ b/valetrack/src/bundle/tests/fake.rs
@@ -6,7 +6,7 @@
 use futures::future::BoxFuture;
 use tokio::sync::mpsc;
 
-use crate::store::{Era, Found, HistoryName, Position, Store, StoreError, Versioned, WatchUpdate, Written};
+use crate::store::{Era, Found, HistoryName, Position, Store, StoreError, SwapOutcome, Versioned, WatchUpdate};
 
 /// Outcome of one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,7 +87,7 @@
         Position::new(Era::default(), revision)
     }
 
-    fn swap(&mut self, key: &str, expected: Option<Position>, value: Vec<u8>) -> Result<Written, StoreError> {
+    fn swap(&mut self, key: &str, expected: Option<Position>, value: Vec<u8>) -> Result<SwapOutcome, StoreError> {
         if self.down {
             return Err(StoreError::Unreachable { reason: "down".into() });
         }
@@ -103,9 +103,9 @@
         let written = match is_expected {
             true => {
                 let revision = self.put(key, value);
-                Written::At(self.at(revision))
+                SwapOutcome::At(self.at(revision))
             }
-            false => Written::Refused,
+            false => SwapOutcome::Refused,
         };
         if outcome == WriteOutcome::AnswerLost {
             return Err(StoreError::Lost { reason: "answer lost".into() });
@@ -132,7 +132,7 @@
         key: &'a str,
         expected: Option<Position>,
         value: Vec<u8>,
-    ) -> BoxFuture<'a, Result<Written, StoreError>> {
+    ) -> BoxFuture<'a, Result<SwapOutcome, StoreError>> {
         let written = self.0.lock().expect("no panic").swap(key, expected, value);
         Box::pin(async move { written })
     }
--- a/valetrack/src/claim/run.rs
+++ b/valetrack/src/claim/run.rs
@@ -30,7 +30,7 @@
 use crate::member::{Members, Phase};
 use crate::metric::Metrics;
 use crate::placement::{Outcome, PlaceJob, Placed, RateBudget, Verdict};
-use crate::store::{Position, Store, Written};
+use crate::store::{Position, Store, SwapOutcome};
 use history::History;
 
 mod history;
@@ -414,8 +414,8 @@
             counts.inc();
             let sent_us = now_us();
             let event = match store.swap(&key, Some(expected), value).await {
-                Ok(Written::At(position)) => ClaimEvent::Wrote { position },
-                Ok(Written::Refused) => ClaimEvent::Refused,
+                Ok(SwapOutcome::At(position)) => ClaimEvent::Wrote { position },
+                Ok(SwapOutcome::Refused) => ClaimEvent::Refused,
                 Err(error) => {
                     log::warn!("event=claim.write_failed page={page} code={}", error.code());
                     ClaimEvent::WriteLost
--- a/valetrack/src/crash/archive.rs
+++ b/valetrack/src/crash/archive.rs
@@ -5,7 +5,7 @@
 use futures::future::BoxFuture;
 
 use super::message::CrashReport;
-use crate::store::{CommitOutcome, Freshness, LeaseStore, LeasedWrite, Position, Store, StoreError, Written};
+use crate::store::{CommitOutcome, Freshness, LeaseStore, LeasedWrite, Position, Store, StoreError, SwapOutcome};
 
 /// Prefix of the keys, each of which ends with the name of a service.
 pub const CRASH_PREFIX: &str = "valetrack/crash/";
@@ -75,7 +75,7 @@
         expected: Option<Position>,
         value: Vec<u8>,
     ) -> BoxFuture<'a, Result<bool, StoreError>> {
-        Box::pin(async move { Ok(matches!(self.0.swap(key, expected, value).await?, Written::At(_))) })
+        Box::pin(async move { Ok(matches!(self.0.swap(key, expected, value).await?, SwapOutcome::At(_))) })
     }
 }
 
--- a/valetrack/src/store/client.rs
+++ b/valetrack/src/store/client.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{Mutex, mpsc};
 use tokio::time::timeout;
 
-use super::message::{Found, HistoryName, Store, StoreError, Versioned, WatchUpdate, Written};
+use super::message::{Found, HistoryName, Store, StoreError, SwapOutcome, Versioned, WatchUpdate};
 use super::position::{Era, Position};
 
 /// Largest answer that the client reads. A value of one megabyte fits in base64 with room to spare.
@@ -142,7 +142,12 @@
         Ok(Found { at: Position::new(era, revision), history: header.history, value })
     }
 
-    async fn swap_once(&self, key: &str, expected: Option<Position>, value: Vec<u8>) -> Result<Written, StoreError> {
+    async fn swap_once(
+        &self,
+        key: &str,
+        expected: Option<Position>,
+        value: Vec<u8>,
+    ) -> Result<SwapOutcome, StoreError> {
         let key = STANDARD.encode(key);
         let revision = expected.map_or(0, Position::wire_revision);
         let body = json!({
@@ -150,16 +155,16 @@
             "success": [{ "request_put": { "key": key, "value": STANDARD.encode(value) } }],
         });
         let Answer { era, body } = match self.call("/v3/kv/txn", body, expected.map(Position::era)).await {
-            Err(CallError::EraEnded) => return Ok(Written::Refused),
+            Err(CallError::EraEnded) => return Ok(SwapOutcome::Refused),
             answer => answer.map_err(write_error)?,
         };
         if !body.get("succeeded").and_then(Value::as_bool).unwrap_or(false) {
-            return Ok(Written::Refused);
+            return Ok(SwapOutcome::Refused);
         }
         // The write took effect, but without its revision the outcome is treated as unknown.
         let reason = "answer to the write has no revision".to_owned();
         let revision = Header::parse(&body).revision.ok_or(StoreError::Lost { reason })?;
-        Ok(Written::At(Position::new(era, revision)))
+        Ok(SwapOutcome::At(Position::new(era, revision)))
     }
 
     async fn watch_once(
@@ -209,7 +214,7 @@
         key: &'a str,
         expected: Option<Position>,
         value: Vec<u8>,
-    ) -> BoxFuture<'a, Result<Written, StoreError>> {
+    ) -> BoxFuture<'a, Result<SwapOutcome, StoreError>> {
         Box::pin(self.swap_once(key, expected, value))
     }
 
--- a/valetrack/src/store/message.rs
+++ b/valetrack/src/store/message.rs
@@ -45,7 +45,7 @@
 
 /// Outcome of a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Written {
+pub enum SwapOutcome {
     /// The write took effect at this position.
     At(Position),
     /// Nothing changed: the key's last change was not at the expected position, or that position is of an earlier era.
@@ -120,7 +120,7 @@
         key: &'a str,
         expected: Option<Position>,
         value: Vec<u8>,
-    ) -> BoxFuture<'a, Result<Written, StoreError>>;
+    ) -> BoxFuture<'a, Result<SwapOutcome, StoreError>>;
 
     /// Watches one key from a revision on until the connection ends.
     fn watch<'a>(
--- a/valetrack/src/store/tests.rs
+++ b/valetrack/src/store/tests.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-use super::{Era, HttpStore, Position, Store, StoreError, Written};
+use super::{Era, HttpStore, Position, Store, StoreError, SwapOutcome};
 
 const LIMIT_MS: u64 = 200;
 
@@ -62,7 +62,10 @@
 #[tokio::test]
 async fn refused_write_is_reported_as_refused() {
     let addr = start_store(Some("HTTP/1.1 200 OK\r\ncontent-length: 19\r\n\r\n{\"succeeded\":false}")).await;
-    assert_eq!(client(addr).swap("k", Some(Position::new(Era::new(1), 4)), b"v".to_vec()).await, Ok(Written::Refused));
+    assert_eq!(
+        client(addr).swap("k", Some(Position::new(Era::new(1), 4)), b"v".to_vec()).await,
+        Ok(SwapOutcome::Refused)
+    );
 }
 
 #[tokio::test]
