--- a/valetrack/src/bundle/operator.rs
+++ b/valetrack/src/bundle/operator.rs
@@ -12,7 +12,7 @@
 use crate::clock::wall_us;
 use crate::code::Code;
 use crate::member::Evacuation;
-use crate::store::{Found, Position, Store, StoreError, SwapOutcome};
+use crate::store::{Position, ReadResult, Store, StoreError, SwapOutcome};
 
 /// Most publications that a copy of the store may lack: those of some 47 days at 21,000 a day.
 const LOST_PUBLICATIONS_MAX: u64 = 1_000_000;
@@ -229,17 +229,17 @@
 }
 
 /// Parses the document in force, if there is a valid one.
-fn current_doc(found: &Found) -> Option<CurrentDoc> {
+fn current_doc(found: &ReadResult) -> Option<CurrentDoc> {
     found.value.as_ref().and_then(|kv| serde_json::from_slice(&kv.value).ok())
 }
 
 /// Returns whether the name of the store's history shows that the store was restored from a copy after a document was
 /// written.
-fn is_restored(doc: &CurrentDoc, found: &Found) -> bool {
+fn is_restored(doc: &CurrentDoc, found: &ReadResult) -> bool {
     doc.history.is_some() && found.history.is_some() && doc.history != found.history
 }
 
-fn next_current(before: &Found, operator: &str, version: &str) -> CurrentDoc {
+fn next_current(before: &ReadResult, operator: &str, version: &str) -> CurrentDoc {
     let doc = current_doc(before);
     // A number that the copy lacks may be in force at nodes, which accept no other bundle under it.
     let lost_max = doc.as_ref().filter(|doc| is_restored(doc, before)).map_or(0, |_| LOST_PUBLICATIONS_MAX);
@@ -334,7 +334,7 @@
             Err(error @ StoreError::Lost { .. }) => last = error,
             Err(error) => return Err(error.into()),
         }
-        if matches!(store.read(key).await, Ok(Found { value: Some(_), .. })) {
+        if matches!(store.read(key).await, Ok(ReadResult { value: Some(_), .. })) {
             return Ok(());
         }
     }
--- a/valetrack/src/bundle/run.rs
+++ b/valetrack/src/bundle/run.rs
@@ -15,7 +15,7 @@
 use crate::code::Code;
 use crate::member::{Evacuation, Members};
 use crate::metric::Metrics;
-use crate::store::{Found, Store, SwapOutcome, Versioned, WatchUpdate};
+use crate::store::{ReadResult, Store, SwapOutcome, Versioned, WatchUpdate};
 
 /// Nodes of each failure domain that watch the store.
 const WATCHERS: usize = 2;
@@ -119,7 +119,7 @@
     }
 
     /// Writes a document that the store has lost, or renumbers one that was published without a record of it.
-    async fn recover(&self, found: &Found, held: Option<&CurrentDoc>, next: CurrentDoc) -> Result<u64, ()> {
+    async fn recover(&self, found: &ReadResult, held: Option<&CurrentDoc>, next: CurrentDoc) -> Result<u64, ()> {
         let number = held.map_or(0, |doc| doc.number);
         log::warn!("event=bundle.store_behind number={number} in_force={} next={}", self.adopter.number(), next.number);
         self.restore_text(&next.version).await?;
--- a/valetrack/src/bundle/tests/fake.rs
+++ b/valetrack/src/bundle/tests/fake.rs
@@ -6,7 +6,7 @@
 use futures::future::BoxFuture;
 use tokio::sync::mpsc;
 
-use crate::store::{Era, Found, HistoryName, Position, Store, StoreError, SwapOutcome, Versioned, WatchUpdate};
+use crate::store::{Era, HistoryName, Position, ReadResult, Store, StoreError, SwapOutcome, Versioned, WatchUpdate};
 
 /// Outcome of one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -115,13 +115,13 @@
 }
 
 impl Store for FakeStore {
-    fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Found, StoreError>> {
+    fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<ReadResult, StoreError>> {
         let state = self.0.lock().expect("no panic");
         let found = match state.down {
             true => Err(StoreError::Unreachable { reason: "down".into() }),
             false => {
                 let value = state.entries.get(key).cloned();
-                Ok(Found { at: state.at(state.revision), history: Some(HistoryName(state.history)), value })
+                Ok(ReadResult { at: state.at(state.revision), history: Some(HistoryName(state.history)), value })
             }
         };
         Box::pin(async move { found })
--- a/valetrack/src/store/client.rs
+++ b/valetrack/src/store/client.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{Mutex, mpsc};
 use tokio::time::timeout;
 
-use super::message::{Found, HistoryName, Store, StoreError, SwapOutcome, Versioned, WatchUpdate};
+use super::message::{HistoryName, ReadResult, Store, StoreError, SwapOutcome, Versioned, WatchUpdate};
 use super::position::{Era, Position};
 
 /// Largest answer that the client reads. A value of one megabyte fits in base64 with room to spare.
@@ -132,14 +132,14 @@
         ended.unwrap_or_else(|_| Err(CallError::Unanswered("call timed out".into())))
     }
 
-    async fn read_once(&self, key: &str) -> Result<Found, StoreError> {
+    async fn read_once(&self, key: &str) -> Result<ReadResult, StoreError> {
         let answer = self.call("/v3/kv/range", json!({ "key": STANDARD.encode(key) }), None).await;
         let Answer { era, body } = answer.map_err(read_error)?;
         let header = Header::parse(&body);
         let revision = header.revision.ok_or(StoreError::Invalid { reason: "answer has no revision".into() })?;
         let row = body.get("kvs").and_then(Value::as_array).and_then(|rows| rows.first());
         let value = row.map(|row| parse_kv(row, era)).transpose()?;
-        Ok(Found { at: Position::new(era, revision), history: header.history, value })
+        Ok(ReadResult { at: Position::new(era, revision), history: header.history, value })
     }
 
     async fn swap_once(
@@ -205,7 +205,7 @@
 }
 
 impl Store for HttpStore {
-    fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Found, StoreError>> {
+    fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<ReadResult, StoreError>> {
         Box::pin(self.read_once(key))
     }
 
--- a/valetrack/src/store/message.rs
+++ b/valetrack/src/store/message.rs
@@ -17,7 +17,7 @@
 
 /// Result of reading one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Found {
+pub struct ReadResult {
     /// Position of the store when it answered.
     pub at: Position,
     /// Identifier of the store's history; `None` if the answer doesn't include it.
@@ -26,7 +26,7 @@
     pub value: Option<Versioned>,
 }
 
-impl Found {
+impl ReadResult {
     /// Returns the position of the key for use as the condition of its next write: the start of the era if the key
     /// doesn't exist.
     pub fn position(&self) -> Position {
@@ -111,7 +111,7 @@
 /// Operations that valetrack uses of the platform's store.
 pub trait Store: Send + Sync {
     /// Reads one key.
-    fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Found, StoreError>>;
+    fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<ReadResult, StoreError>>;
 
     /// Writes a key if its last change is at `expected`. If `expected` is the start of an era, the key must not exist
     /// in that era; if it is `None`, the key must not exist in any era.
--- a/valetrack/src/store/mod.rs
+++ b/valetrack/src/store/mod.rs
@@ -15,5 +15,5 @@
     Change, Changes, CommitOutcome, Freshness, Item, Lease, LeaseStore, LeasedChange, LeasedWrite, Page,
     TRANSACTION_MAX, TransactionOutcome,
 };
-pub use message::{Found, HistoryName, Store, StoreError, SwapOutcome, Versioned, WatchUpdate};
+pub use message::{HistoryName, ReadResult, Store, StoreError, SwapOutcome, Versioned, WatchUpdate};
 pub use position::{Era, Position, Relation};
