--- a/valetrack/src/claim/entry.rs
+++ b/valetrack/src/claim/entry.rs
@@ -14,7 +14,7 @@
     pub entries_max: usize,
 }
 
-/// Whether this node is the home of a page, as far as it knows.
+/// This node's own view of whether it is the home of a page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Hold {
     /// Another node may be the home.
--- a/valetrack/src/claim/message.rs
+++ b/valetrack/src/claim/message.rs
@@ -162,7 +162,7 @@
         page: Option<Page>,
         /// Whether the store is known not to have been rolled back since the page was written.
         complete: bool,
-        /// State of the page's home, as far as the reader knows.
+        /// State of the page's home, as seen by the reader.
         holder: Holder,
     },
     /// The page could not be read.
--- a/valetrack/src/claim/run.rs
+++ b/valetrack/src/claim/run.rs
@@ -43,7 +43,7 @@
 const TICK_INTERVAL_MS: u64 = 200;
 /// A tick that is late by more than this shows that the process was paused.
 const LATE_TICK_US: u64 = 800_000;
-/// Pause between two checks of the held pages by a node that receives nothing from the others.
+/// Shortest time between two checks of the held pages because of silent or contradicting nodes.
 const SUSPECT_INTERVAL_US: u64 = 1_000_000;
 /// Pause between two attempts to acquire the pages that this node should hold.
 const ACQUIRE_INTERVAL_US: u64 = 5_000_000;
@@ -239,7 +239,8 @@
         let nodes: Vec<Arc<str>> =
             self.parts.members.borrow().servers_of(&self.parts.service).map(|node| node.vm).collect();
         if nodes != self.nodes {
-            // A node that has just joined waits for the reports of the others before it acquires pages that they hold.
+            // After a change of the nodes, pages are acquired at the next tick at the earliest: a node that starts must
+            // have received the other nodes before it acquires pages that they hold.
             self.nodes = nodes;
             self.acquire_at_us = now;
             return;
@@ -278,7 +279,8 @@
         }
     }
 
-    /// Checks the held pages at once after a suspension of the VM. The next tick comes only after the first call.
+    /// Checks the held pages at once after a suspension of the VM, because the first call may arrive before the next
+    /// tick.
     fn check_suspension(&mut self) {
         if self.suspensions.take(suspended_us()).is_some() {
             self.tick(true, now_us());
--- a/valetrack/src/claim/run/history.rs
+++ b/valetrack/src/claim/run/history.rs
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Probes the store if the connection to it has ended, or if other nodes request to know whether it is still open.
+    /// Probes the store if the connection to it has ended, or if another node has requested reports since the last
+    /// answer.
     fn probe_store(&mut self, now: u64) {
         let is_requested = self.parts.members.borrow().claims().requested_us() > self.history.continuity.verified_us();
         let is_due = is_requested || self.parts.store.has_lost_contact();
--- a/valetrack/src/store/lease.rs
+++ b/valetrack/src/store/lease.rs
@@ -97,7 +97,7 @@
     /// Position of its last change that must still be current; `None` if the key must not exist.
     ///
     /// The store compares only the revision: after a store rollback, the write may replace a value that was never read.
-    /// The position in [`Committed::At`] then is of another era.
+    /// The position in [`CommitOutcome::At`] then is of another era.
     pub expected: Option<Position>,
     pub value: Vec<u8>,
     /// The lease that the item expires with; `None` if it doesn't expire.
