--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -28,7 +28,7 @@
     Announcement, BounceReason, GateConfig, Health, RunLedger, UpstreamPhase, UpstreamProtocol, UpstreamState,
 };
 use crate::jobs::next_job;
-use crate::member::{Evacuation, FollowerNews, Known, Member, MemberJob, Members};
+use crate::member::{Evacuation, FollowerNews, GossipReply, Member, MemberJob, Members};
 use crate::metric::Metrics;
 use crate::placement::Outcome;
 use crate::quota::run::Quotas;
@@ -289,7 +289,7 @@
             Ask::Gossip { members, evacuation, bundle, claims } => {
                 let (reply, known) = oneshot::channel();
                 let job = MemberJob::Heard { members, evacuation, bundle, claims, reply: Some(reply) };
-                let Known { members, claims } = self.exchange(job, known).await;
+                let GossipReply { members, claims } = self.exchange(job, known).await;
                 (Reply::Gossip { members, evacuation: self.evacuation(), claims }, Bytes::new())
             }
             Ask::Bundle => self.bundle(),
@@ -354,9 +354,9 @@
         self.parts.members.borrow().evacuation().clone()
     }
 
-    async fn exchange(&self, job: MemberJob, known: oneshot::Receiver<Known>) -> Known {
+    async fn exchange(&self, job: MemberJob, known: oneshot::Receiver<GossipReply>) -> GossipReply {
         if self.parts.to_member.send(job).await.is_err() {
-            return Known::default();
+            return GossipReply::default();
         }
         known.await.unwrap_or_default()
     }
--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -24,7 +24,7 @@
 use super::directory::{Directory, ENTRY_PREFIX};
 use super::evacuation::{Evacuation, EvacuationKeys};
 use super::lease::EntryKeeper;
-use super::message::{Known, Member, MemberJob, Phase};
+use super::message::{GossipReply, Member, MemberJob, Phase};
 use super::registrar::Registrar;
 use super::relay::ChangeLog;
 use super::role::AvoidReason;
@@ -218,7 +218,7 @@
                 }
                 if let Some(reply) = reply {
                     // The receiver may have been dropped.
-                    let _ = reply.send(Known { members: self.digest(), claims: ClaimReport::default() });
+                    let _ = reply.send(GossipReply { members: self.digest(), claims: ClaimReport::default() });
                 }
             }
             MemberJob::Bundle { number, from } => self.on_bundle_announced(number, from),
--- a/valetrack/src/member/message.rs
+++ b/valetrack/src/member/message.rs
@@ -119,7 +119,7 @@
 
 /// A node's part of a gossip exchange, sent in reply.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct GossipReply {
     /// VMs that it has recorded, its own first.
     pub members: Vec<Member>,
     /// Its report on its pages of claims.
@@ -156,7 +156,7 @@
         /// Its report on its pages of claims.
         claims: ClaimReport,
         /// Receives this node's own state.
-        reply: Option<oneshot::Sender<Known>>,
+        reply: Option<oneshot::Sender<GossipReply>>,
     },
     /// A reply showed that a later bundle is in force at another node.
     Bundle {
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -12,7 +12,7 @@
 
 use super::evacuation::Evacuation;
 use super::list::VmList;
-use super::message::{FollowerNews, Known, Member, MemberJob, Phase};
+use super::message::{FollowerNews, GossipReply, Member, MemberJob, Phase};
 use super::state::Members;
 use crate::bundle::run::Bundler;
 use crate::claim::{ClaimReport, ClaimState, PeerReport};
@@ -117,7 +117,7 @@
                 self.merge(&members);
                 if let Some(reply) = reply {
                     // The receiver may have been dropped.
-                    let _ = reply.send(Known { members: self.digest(), claims: self.claim_report() });
+                    let _ = reply.send(GossipReply { members: self.digest(), claims: self.claim_report() });
                 }
             }
             MemberJob::Bundle { number, from } => self.on_bundle_announced(number, from),
