--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -28,7 +28,7 @@
     Announcement, BounceReason, GateConfig, Health, RunLedger, UpstreamPhase, UpstreamProtocol, UpstreamState,
 };
 use crate::jobs::next_job;
-use crate::member::{Evacuation, FollowerNews, GossipReply, Member, MemberJob, Members};
+use crate::member::{Evacuation, FollowerReply, GossipReply, Member, MemberJob, Members};
 use crate::metric::Metrics;
 use crate::placement::Outcome;
 use crate::quota::run::Quotas;
@@ -369,11 +369,11 @@
         }
         // The member thread drops the sender if this node doesn't serve followers.
         match news.await {
-            Ok(FollowerNews::News { packed, age_ms }) => {
+            Ok(FollowerReply::News { packed, age_ms }) => {
                 (Reply::News { body_bytes: packed.len() as u32, age_ms }, packed)
             }
-            Ok(FollowerNews::Full) => (Reply::FollowersFull, Bytes::new()),
-            Ok(FollowerNews::Behind) | Err(_) => (Reply::NoNews, Bytes::new()),
+            Ok(FollowerReply::Full) => (Reply::FollowersFull, Bytes::new()),
+            Ok(FollowerReply::Behind) | Err(_) => (Reply::NoNews, Bytes::new()),
         }
     }
 
--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -15,7 +15,7 @@
 use crate::link::peer::{self, LinkResult, Target};
 use crate::member::relay::{ApplyOutcome, StoreNews};
 use crate::member::role::AvoidReason;
-use crate::member::{FollowerNews, Member, Phase, entry_key};
+use crate::member::{FollowerReply, Member, Phase, entry_key};
 use crate::store::{Change, Freshness, Item, Position};
 
 /// Longest wait of one request to a relay, after which a dead relay is detected.
@@ -230,7 +230,7 @@
         after: Position,
         wait_ms: u32,
         me: Member,
-        reply: oneshot::Sender<FollowerNews>,
+        reply: oneshot::Sender<FollowerReply>,
     ) {
         // A follower may be the first to observe a store rollback.
         self.observe_era(after.era());
@@ -239,12 +239,12 @@
         let _ = reply.send(update);
     }
 
-    async fn update_for(self: &Rc<Self>, after: Position, wait_ms: u32, follower: &Member) -> FollowerNews {
+    async fn update_for(self: &Rc<Self>, after: Position, wait_ms: u32, follower: &Member) -> FollowerReply {
         if !self.accept_relay_role() {
-            return FollowerNews::Behind;
+            return FollowerReply::Behind;
         }
         if !self.admits_follower(follower) {
-            return FollowerNews::Full;
+            return FollowerReply::Full;
         }
         self.keep_entry_of(follower);
         let until_us = now_us() + u64::from(wait_ms) * 1000;
@@ -252,23 +252,23 @@
     }
 
     /// Returns the changes after a position, packed once for all followers that lack the same ones.
-    fn packed_since(&self, after: Position, now_us: u64) -> FollowerNews {
+    fn packed_since(&self, after: Position, now_us: u64) -> FollowerReply {
         let log = self.log.borrow();
         let (at, age_ms) = (log.position(), log.age_ms(now_us));
         let mut cache = self.packed.borrow_mut();
         if let Some((_, packed)) = cache.iter().find(|(known, _)| *known == (after, at)) {
-            return FollowerNews::News { packed: packed.clone(), age_ms };
+            return FollowerReply::News { packed: packed.clone(), age_ms };
         }
         match codec::pack_news(&log.since(after)) {
             Ok(packed) => {
                 cache.retain(|((_, until), _)| *until == at);
                 cache.truncate(PACKED_MAX - 1);
                 cache.insert(0, ((after, at), packed.clone()));
-                FollowerNews::News { packed, age_ms }
+                FollowerReply::News { packed, age_ms }
             }
             Err(error) => {
                 log::warn!("event=store.news_unpacked code={} reason=\"{error}\"", error.code());
-                FollowerNews::Behind
+                FollowerReply::Behind
             }
         }
     }
@@ -286,7 +286,7 @@
     }
 
     /// Waits for changes after a position, unless this node is behind the store.
-    async fn update_since(&self, after: Position, until_us: u64) -> FollowerNews {
+    async fn update_since(&self, after: Position, until_us: u64) -> FollowerReply {
         let mut was_current = false;
         loop {
             let log_changed = self.log_changed.notified();
@@ -294,10 +294,10 @@
             let current_until_us = self.log.borrow().current_until_us().filter(|until_us| *until_us > now);
             let newer = self.log.borrow().is_newer_than(after);
             if now >= until_us || (newer && current_until_us.is_some()) {
-                return current_until_us.map_or(FollowerNews::Behind, |_| self.packed_since(after, now));
+                return current_until_us.map_or(FollowerReply::Behind, |_| self.packed_since(after, now));
             }
             if was_current && current_until_us.is_none() {
-                return FollowerNews::Behind;
+                return FollowerReply::Behind;
             }
             was_current |= current_until_us.is_some();
             let next_us = current_until_us.unwrap_or(until_us).min(until_us);
--- a/valetrack/src/member/message.rs
+++ b/valetrack/src/member/message.rs
@@ -128,7 +128,7 @@
 
 /// Reply to a node that follows this one.
 #[derive(Debug)]
-pub enum FollowerNews {
+pub enum FollowerReply {
     /// Changes in the store.
     News {
         /// The changes, packed once for all followers that lack the same ones.
@@ -179,7 +179,7 @@
         /// State of the follower, which this node keeps in the store.
         me: Box<Member>,
         /// Receives the changes.
-        reply: oneshot::Sender<FollowerNews>,
+        reply: oneshot::Sender<FollowerReply>,
     },
     /// A reply showed that another node lacks the bundle in force here.
     Behind {
--- a/valetrack/src/member/mod.rs
+++ b/valetrack/src/member/mod.rs
@@ -20,7 +20,7 @@
 pub use directory::{Directory, ENTRY_PREFIX, EntryDoc, MISSING_US, REWRITES_PER_S, entry_key};
 pub use evacuation::{Evacuation, EvacuationKeys};
 pub use lease::{EntryKeeper, EntryStep, SeenEntry};
-pub use message::{Candidate, FollowerNews, GossipReply, ListedVm, Member, MemberJob, Phase};
+pub use message::{Candidate, FollowerReply, GossipReply, ListedVm, Member, MemberJob, Phase};
 pub use registrar::{Batch, Registrar};
 pub use relay::{AGE_MAX_US, ApplyOutcome, ChangeLog, StoreNews};
 pub use role::{AvoidReason, GROUP_MAX, is_candidate, is_needed, is_surplus, relay_of};
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -12,7 +12,7 @@
 
 use super::evacuation::Evacuation;
 use super::list::VmList;
-use super::message::{FollowerNews, GossipReply, Member, MemberJob, Phase};
+use super::message::{FollowerReply, GossipReply, Member, MemberJob, Phase};
 use super::state::Members;
 use crate::bundle::run::Bundler;
 use crate::claim::{ClaimReport, ClaimState, PeerReport};
@@ -126,7 +126,7 @@
             }
             MemberJob::Follow { reply, .. } => {
                 // This platform's member thread does not read the store. The receiver may have been dropped.
-                let _ = reply.send(FollowerNews::Behind);
+                let _ = reply.send(FollowerReply::Behind);
             }
             MemberJob::Behind { peer } => {
                 tokio::task::spawn_local(self.exchange(peer));
