--- a/valetrack/src/link/codec.rs
+++ b/valetrack/src/link/codec.rs
@@ -7,7 +7,7 @@
 
 use super::message::{Ask, BODY_MAX_BYTES, HEAD_MAX_BYTES, Reply, ReplyHead};
 use crate::code::Code;
-use crate::member::StoreNews;
+use crate::member::StoreUpdate;
 
 /// Size of the length prefix in front of a head.
 pub const LENGTH_BYTES: usize = 4;
@@ -104,7 +104,7 @@
 /// # Errors
 ///
 /// Returns [`FrameError::Undecodable`] if the update cannot be serialized, which is a bug in its type.
-pub fn pack_news(news: &StoreNews) -> Result<Bytes, FrameError> {
+pub fn pack_news(news: &StoreUpdate) -> Result<Bytes, FrameError> {
     let packed = postcard::to_allocvec(news).map_err(|_| FrameError::Undecodable)?;
     Ok(Bytes::from(lz4_flex::compress_prepend_size(&packed)))
 }
@@ -115,7 +115,7 @@
 ///
 /// Returns [`FrameError::BodyTooLarge`] if the size prefix exceeds [`BODY_MAX_BYTES`], and
 /// [`FrameError::Undecodable`] if the body is not a valid store update.
-pub fn unpack_news(body: &Bytes) -> Result<StoreNews, FrameError> {
+pub fn unpack_news(body: &Bytes) -> Result<StoreUpdate, FrameError> {
     let size: [u8; LENGTH_BYTES] =
         body.get(..LENGTH_BYTES).and_then(|size| size.try_into().ok()).ok_or(FrameError::Undecodable)?;
     let bytes = u32::from_le_bytes(size) as usize;
--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -13,7 +13,7 @@
 use crate::link::codec;
 use crate::link::message::{Ask, Question, Reply};
 use crate::link::peer::{self, LinkResult, Target};
-use crate::member::relay::{ApplyOutcome, StoreNews};
+use crate::member::relay::{ApplyOutcome, StoreUpdate};
 use crate::member::role::AvoidReason;
 use crate::member::{FollowerReply, Member, Phase, entry_key};
 use crate::store::{Change, Freshness, Item, Position};
@@ -39,7 +39,7 @@
 /// Outcome of a request to a relay.
 enum RelayReply {
     /// Changes in the store, and their age in milliseconds.
-    Update(StoreNews, u32),
+    Update(StoreUpdate, u32),
     /// The relay is behind the store.
     Behind,
     /// The relay accepts no more followers.
@@ -208,7 +208,7 @@
     }
 
     /// Applies the update that a relay has sent for a position.
-    fn apply_update(self: &Rc<Self>, update: &StoreNews, age_ms: u32, after: Position) {
+    fn apply_update(self: &Rc<Self>, update: &StoreUpdate, age_ms: u32, after: Position) {
         let confirmed_us = now_us().saturating_sub(u64::from(age_ms) * 1000);
         let outcome = match update.whole {
             true => {
--- a/valetrack/src/member/relay.rs
+++ b/valetrack/src/member/relay.rs
@@ -26,7 +26,7 @@
 
 /// Update of a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreNews {
+pub struct StoreUpdate {
     /// Whether the changes are a complete copy, so that keys that are not among them do not exist.
     pub whole: bool,
     /// The changes, in their order.
@@ -235,7 +235,7 @@
 
     /// Returns the update for a node that has read the store up to `after`: the later changes, or all items if the log
     /// does not hold every change after that position.
-    pub fn since(&self, after: Position) -> StoreNews {
+    pub fn since(&self, after: Position) -> StoreUpdate {
         let is_continuous = match after.relation_to(self.at) {
             Relation::Before | Relation::Same => !self.complete_after.supersedes(after),
             Relation::After | Relation::EarlierEra | Relation::LaterEra => false,
@@ -244,6 +244,6 @@
             true => self.changes.iter().filter(|change| change.position().supersedes(after)).cloned().collect(),
             false => self.items.values().cloned().map(Change::Put).collect(),
         };
-        StoreNews { whole: !is_continuous, changes, at: self.at }
+        StoreUpdate { whole: !is_continuous, changes, at: self.at }
     }
 }
