--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -38,7 +38,7 @@
 use crate::link::message::{Ask, Question, Reply};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::metric::Metrics;
-use crate::rollout::{RolloutBook, RolloutFormat};
+use crate::rollout::{RolloutFormat, RolloutRegistry};
 use crate::store::{LeaseStore, Position};
 
 /// Longest wait of one watch call: the platform allows 30 seconds.
@@ -107,7 +107,7 @@
     fetching_evacuation: Cell<bool>,
     rng: RefCell<fastrand::Rng>,
     /// The roll-outs in the store.
-    rollouts: RefCell<RolloutBook>,
+    rollouts: RefCell<RolloutRegistry>,
     /// Wakes the task that advances roll-outs.
     rollout_changed: Notify,
     /// The entries of the nodes that follow this one.
--- a/valetrack/src/rollout/book.rs
+++ b/valetrack/src/rollout/book.rs
@@ -38,12 +38,12 @@
 
 /// Roll-outs by service.
 #[derive(Debug, Clone, Default)]
-pub struct RolloutBook {
+pub struct RolloutRegistry {
     orders: BTreeMap<Arc<str>, OrderRecord>,
     docs: BTreeMap<Arc<str>, (RolloutDoc, Position)>,
 }
 
-impl RolloutBook {
+impl RolloutRegistry {
     /// Records an order that is stored at a position; returns whether it differs from the recorded one.
     pub fn ordered(&mut self, order: RolloutOrder, position: Position, now_us: u64) -> bool {
         if self.orders.get(&order.service).is_some_and(|recorded| recorded.position == position) {
--- a/valetrack/src/rollout/mod.rs
+++ b/valetrack/src/rollout/mod.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use book::{RolloutBook, RolloutStage, RolloutView};
+pub use book::{RolloutRegistry, RolloutStage, RolloutView};
 pub use count::RunCounter;
 pub use decision::{Decision, Evidence, Progress, decide};
 pub use judge::{Verdict, compare};
--- a/valetrack/src/rollout/tests.rs
+++ b/valetrack/src/rollout/tests.rs
@@ -5,7 +5,7 @@
 use test_case::test_case;
 
 use super::{
-    Decision, Evidence, Progress, RolloutBook, RolloutDoc, RolloutOrder, RouteRuns, RunCounter, ServerPart, Stage,
+    Decision, Evidence, Progress, RolloutDoc, RolloutOrder, RolloutRegistry, RouteRuns, RunCounter, ServerPart, Stage,
     TrialShare, Verdict, compare, decide, doc_key, trial_size,
 };
 use crate::member::{Member, Phase};
@@ -31,7 +31,7 @@
 /// Returns the traffic share of each upstream: three of the old version, three of the new one, and one whose version is
 /// unknown.
 fn shares_at(stage: Option<Stage>) -> Vec<ServerPart> {
-    let mut book = RolloutBook::default();
+    let mut book = RolloutRegistry::default();
     let order = RolloutOrder { service: Arc::from("lab"), version: Arc::from("v2"), within_ms: 12_000 };
     book.ordered(order, Position::new(Era::default(), 7), 0);
     if let Some(stage) = stage {
@@ -63,7 +63,7 @@
 
 #[test]
 fn document_of_another_order_is_ignored() {
-    let mut book = RolloutBook::default();
+    let mut book = RolloutRegistry::default();
     let order = RolloutOrder { service: Arc::from("lab"), version: Arc::from("v2"), within_ms: 12_000 };
     book.ordered(order, Position::new(Era::default(), 7), 0);
     let doc = RolloutDoc { version: Arc::from("v2"), order: 3, stage: Stage::Completed };
