--- a/standin/src/overload/world.rs
+++ b/standin/src/overload/world.rs
@@ -236,7 +236,7 @@
             incarnation: 1,
             domain: Arc::from(format!("domain-{}", self.vms[vm].domain)),
             link_addr: SocketAddr::from(([127, 0, 0, 1], vm as u16)),
-            part: valetrack::rollout::ServerPart::Usual,
+            part: valetrack::rollout::TrafficShare::Usual,
         }
     }
 
--- a/valetrack/src/member/message.rs
+++ b/valetrack/src/member/message.rs
@@ -10,7 +10,7 @@
 use super::evacuation::Evacuation;
 use crate::claim::ClaimReport;
 use crate::link::peer::Target;
-use crate::rollout::ServerPart;
+use crate::rollout::TrafficShare;
 use crate::store::Position;
 
 /// Phase of one incarnation of a VM; it only moves forward.
@@ -90,7 +90,7 @@
     /// Address on which its node listens for links.
     pub link_addr: SocketAddr,
     /// Its traffic share while its service is rolled out.
-    pub part: ServerPart,
+    pub part: TrafficShare,
 }
 
 impl From<&Member> for Candidate {
@@ -100,7 +100,7 @@
             incarnation: member.incarnation,
             domain: member.domain.clone(),
             link_addr: member.link_addr,
-            part: ServerPart::Usual,
+            part: TrafficShare::Usual,
         }
     }
 }
@@ -112,7 +112,7 @@
             incarnation: 0,
             domain: row.domain.clone(),
             link_addr: row.link_addr,
-            part: ServerPart::Usual,
+            part: TrafficShare::Usual,
         }
     }
 }
--- a/valetrack/src/member/state.rs
+++ b/valetrack/src/member/state.rs
@@ -6,7 +6,7 @@
 use super::evacuation::Evacuation;
 use super::message::{Candidate, ListedVm, Member, Phase};
 use crate::claim::PeerClaims;
-use crate::rollout::{RolloutView, ServerPart};
+use crate::rollout::{RolloutView, TrafficShare};
 
 /// A VM that is no longer listed and has been unresponsive for this long is dead.
 pub const GONE_AFTER_US: u64 = 5_000_000;
@@ -122,7 +122,7 @@
             self.all.values().filter(|member| &*member.service == service && member.phase == Phase::Serving).collect();
         let parts = self.rollouts.parts(service, &serving);
         let serving = serving.into_iter().enumerate().map(move |(at, member)| {
-            let part = parts.as_ref().map_or(ServerPart::Usual, |parts| parts[at]);
+            let part = parts.as_ref().map_or(TrafficShare::Usual, |parts| parts[at]);
             Candidate { part, ..Candidate::from(member) }
         });
         let listed = self
--- a/valetrack/src/placement/call/choice.rs
+++ b/valetrack/src/placement/call/choice.rs
@@ -5,14 +5,14 @@
 use crate::placement::message::{CallAction, Demand, Dispatch, SendCause, ServerIndex};
 use crate::placement::set::ServerSet;
 use crate::placement::view::FULL_REPORT_VALID_US;
-use crate::rollout::ServerPart;
+use crate::rollout::TrafficShare;
 
 impl Call {
     /// Sends the first attempt, to a server on trial if the call belongs to the trial's traffic share. Later attempts
     /// go to the other servers: a call is sent to a new version at most once.
     pub(super) fn send_first(&mut self, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) -> Option<ServerIndex> {
-        self.rollout_excluded = cx.view.servers_without(ServerPart::Usual);
-        let on_trial = cx.view.next_is_trial().then(|| cx.view.servers_without(ServerPart::Trial));
+        self.rollout_excluded = cx.view.servers_without(TrafficShare::Usual);
+        let on_trial = cx.view.next_is_trial().then(|| cx.view.servers_without(TrafficShare::Trial));
         let trial = on_trial.and_then(|others| self.pick(others, cx));
         self.excluded = self.rollout_excluded;
         let Some(server) = trial else {
--- a/valetrack/src/placement/service.rs
+++ b/valetrack/src/placement/service.rs
@@ -9,7 +9,7 @@
 use super::view::{MAX_SERVERS, ServiceView};
 use crate::bundle::{FleetRetries, ServiceRule};
 use crate::member::Candidate;
-use crate::rollout::ServerPart;
+use crate::rollout::TrafficShare;
 
 /// Maximum number of servers of a service that one entry considers. The remaining indexes are for new incarnations of
 /// VMs, whose earlier incarnations keep theirs until no attempt is in flight there.
@@ -89,7 +89,7 @@
         let mut hasher = DefaultHasher::new();
         vm.hash(&mut hasher);
         let start_permille = (hasher.finish() % 1_000) as u32;
-        self.view.set_trial_share(count(ServerPart::Trial), count(ServerPart::Usual), start_permille);
+        self.view.set_trial_share(count(TrafficShare::Trial), count(TrafficShare::Usual), start_permille);
     }
 
     fn index_of(&mut self, candidate: &Candidate) -> Option<ServerIndex> {
@@ -127,7 +127,7 @@
         let mut hasher = DefaultHasher::new();
         (vm, &*candidate.vm).hash(&mut hasher);
         // Upstreams on trial are few, and every entry has to know them for their traffic share to reach them.
-        (candidate.part != ServerPart::Trial, &*candidate.domain != domain, hasher.finish())
+        (candidate.part != TrafficShare::Trial, &*candidate.domain != domain, hasher.finish())
     });
     candidates.truncate(CONSIDERED_MAX);
     candidates
--- a/valetrack/src/placement/tests/service.rs
+++ b/valetrack/src/placement/tests/service.rs
@@ -13,7 +13,7 @@
         incarnation: 1,
         domain: Arc::from(["kranj", "loka", "lesce"][at % 3]),
         link_addr: ([127, 0, 0, 1], at as u16).into(),
-        part: crate::rollout::ServerPart::Usual,
+        part: crate::rollout::TrafficShare::Usual,
     };
     (0..count).map(server).collect()
 }
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -7,7 +7,7 @@
 use super::policy::Policy;
 use super::set::ServerSet;
 use crate::gate::LoadReport;
-use crate::rollout::{ServerPart, TrialShare};
+use crate::rollout::{TrafficShare, TrialShare};
 
 /// Maximum number of servers of one service that placement considers.
 pub const MAX_SERVERS: usize = 64;
@@ -57,7 +57,7 @@
     ejections: u32,
     probed_us: u64,
     /// Traffic share while its service is rolled out.
-    traffic_share: ServerPart,
+    traffic_share: TrafficShare,
 }
 
 const EMPTY: ServerView = ServerView {
@@ -73,7 +73,7 @@
     ejected_until_us: 0,
     ejections: 0,
     probed_us: 0,
-    traffic_share: ServerPart::Usual,
+    traffic_share: TrafficShare::Usual,
 };
 
 impl ServerView {
@@ -136,11 +136,11 @@
     }
 
     /// Sets the traffic share of a server while its service is rolled out.
-    pub fn set_traffic_share(&mut self, server: ServerIndex, traffic_share: ServerPart) {
+    pub fn set_traffic_share(&mut self, server: ServerIndex, traffic_share: TrafficShare) {
         if let Some(view) = self.servers.get_mut(server) {
             view.traffic_share = traffic_share;
         }
-        self.is_in_rollout = self.servers.iter().any(|view| view.present && view.traffic_share != ServerPart::Usual);
+        self.is_in_rollout = self.servers.iter().any(|view| view.present && view.traffic_share != TrafficShare::Usual);
     }
 
     /// Sets the numbers of servers on trial and of other servers. `start_permille` is the point at which this entry
@@ -155,7 +155,7 @@
     }
 
     /// Returns the servers whose traffic share differs from `traffic_share`.
-    pub fn servers_without(&self, traffic_share: ServerPart) -> ServerSet {
+    pub fn servers_without(&self, traffic_share: TrafficShare) -> ServerSet {
         let mut servers_without = ServerSet::default();
         if !self.is_in_rollout {
             return servers_without;
--- a/valetrack/src/rollout/book.rs
+++ b/valetrack/src/rollout/book.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::message::{DOC_PREFIX, RolloutDoc, RolloutOrder, ServerPart, Stage};
+use super::message::{DOC_PREFIX, RolloutDoc, RolloutOrder, Stage, TrafficShare};
 use super::share::trial_size;
 use crate::member::Member;
 use crate::store::{Item, Position};
@@ -124,7 +124,7 @@
 impl RolloutView {
     /// Returns the traffic share of each of a service's nodes that accept work, in their order; none if all get calls
     /// as usual.
-    pub fn parts(&self, service: &str, members: &[&Member]) -> Option<Vec<ServerPart>> {
+    pub fn parts(&self, service: &str, members: &[&Member]) -> Option<Vec<TrafficShare>> {
         let (version, stage) = self.services.get(service)?;
         let is_new = |member: &Member| member.version.as_ref() == Some(version);
         let is_unknown = |member: &Member| member.version.is_none();
@@ -140,14 +140,14 @@
             on_trial.truncate(trial_size(old));
         }
         let share = |member: &&Member| match stage {
-            Some(Stage::Completed) => ServerPart::Usual,
+            Some(Stage::Completed) => TrafficShare::Usual,
             // The next announcement of the upstream contains its version.
-            _ if old > 0 && is_unknown(member) => ServerPart::Barred,
-            Some(Stage::Moving) if is_new(member) => ServerPart::Usual,
-            Some(Stage::Moving) => ServerPart::Barred,
-            Some(Stage::Trial) if on_trial.contains(&&member.vm) => ServerPart::Trial,
-            Some(Stage::Trial | Stage::RolledBack) | None if is_new(member) => ServerPart::Barred,
-            Some(Stage::Trial | Stage::RolledBack) | None => ServerPart::Usual,
+            _ if old > 0 && is_unknown(member) => TrafficShare::Barred,
+            Some(Stage::Moving) if is_new(member) => TrafficShare::Usual,
+            Some(Stage::Moving) => TrafficShare::Barred,
+            Some(Stage::Trial) if on_trial.contains(&&member.vm) => TrafficShare::Trial,
+            Some(Stage::Trial | Stage::RolledBack) | None if is_new(member) => TrafficShare::Barred,
+            Some(Stage::Trial | Stage::RolledBack) | None => TrafficShare::Usual,
         };
         Some(members.iter().map(share).collect())
     }
--- a/valetrack/src/rollout/message.rs
+++ b/valetrack/src/rollout/message.rs
@@ -115,7 +115,7 @@
 
 /// Traffic share of an upstream during a roll-out of its service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum ServerPart {
+pub enum TrafficShare {
     /// Calls as usual.
     #[default]
     Usual,
--- a/valetrack/src/rollout/mod.rs
+++ b/valetrack/src/rollout/mod.rs
@@ -19,6 +19,6 @@
 pub use decision::{Decision, Evidence, Progress, decide};
 pub use judge::{Verdict, compare};
 pub use message::{
-    DOC_PREFIX, RolloutDoc, RolloutFormat, RolloutOrder, RolloutState, RouteRuns, ServerPart, Stage, doc_key,
+    DOC_PREFIX, RolloutDoc, RolloutFormat, RolloutOrder, RolloutState, RouteRuns, Stage, TrafficShare, doc_key,
 };
 pub use share::{TrialShare, trial_size};
--- a/valetrack/src/rollout/tests.rs
+++ b/valetrack/src/rollout/tests.rs
@@ -5,8 +5,8 @@
 use test_case::test_case;
 
 use super::{
-    Decision, Evidence, Progress, RolloutDoc, RolloutOrder, RolloutRegistry, RouteRuns, RunCounter, ServerPart, Stage,
-    TrialShare, Verdict, compare, decide, doc_key, trial_size,
+    Decision, Evidence, Progress, RolloutDoc, RolloutOrder, RolloutRegistry, RouteRuns, RunCounter, Stage,
+    TrafficShare, TrialShare, Verdict, compare, decide, doc_key, trial_size,
 };
 use crate::member::{Member, Phase};
 use crate::store::{Era, Item, Position};
@@ -30,7 +30,7 @@
 
 /// Returns the traffic share of each upstream: three of the old version, three of the new one, and one whose version is
 /// unknown.
-fn shares_at(stage: Option<Stage>) -> Vec<ServerPart> {
+fn shares_at(stage: Option<Stage>) -> Vec<TrafficShare> {
     let mut book = RolloutRegistry::default();
     let order = RolloutOrder { service: Arc::from("lab"), version: Arc::from("v2"), within_ms: 12_000 };
     book.ordered(order, Position::new(Era::default(), 7), 0);
@@ -54,9 +54,9 @@
 #[test_case(Some(Stage::RolledBack), "UUUBBBB"; "rolled back")]
 fn traffic_shares_follow_the_stage(stage: Option<Stage>, expected: &str) {
     let letter = |part| match part {
-        ServerPart::Usual => 'U',
-        ServerPart::Trial => 'T',
-        ServerPart::Barred => 'B',
+        TrafficShare::Usual => 'U',
+        TrafficShare::Trial => 'T',
+        TrafficShare::Barred => 'B',
     };
     assert_eq!(shares_at(stage).into_iter().map(letter).collect::<String>(), expected);
 }
