--- a/valetrack/src/member/state.rs
+++ b/valetrack/src/member/state.rs
@@ -120,9 +120,9 @@
     pub fn servers_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = Candidate> + 'a {
         let serving: Vec<&Member> =
             self.all.values().filter(|member| &*member.service == service && member.phase == Phase::Serving).collect();
-        let parts = self.rollouts.parts(service, &serving);
+        let traffic_shares = self.rollouts.traffic_shares(service, &serving);
         let serving = serving.into_iter().enumerate().map(move |(at, member)| {
-            let part = parts.as_ref().map_or(TrafficShare::Usual, |parts| parts[at]);
+            let part = traffic_shares.as_ref().map_or(TrafficShare::Usual, |traffic_shares| traffic_shares[at]);
             Candidate { part, ..Candidate::from(member) }
         });
         let listed = self
--- a/valetrack/src/rollout/book.rs
+++ b/valetrack/src/rollout/book.rs
@@ -124,7 +124,7 @@
 impl RolloutView {
     /// Returns the traffic share of each of a service's nodes that accept work, in their order; none if all get calls
     /// as usual.
-    pub fn parts(&self, service: &str, members: &[&Member]) -> Option<Vec<TrafficShare>> {
+    pub fn traffic_shares(&self, service: &str, members: &[&Member]) -> Option<Vec<TrafficShare>> {
         let (version, stage) = self.services.get(service)?;
         let is_new = |member: &Member| member.version.as_ref() == Some(version);
         let is_unknown = |member: &Member| member.version.is_none();
--- a/valetrack/src/rollout/tests.rs
+++ b/valetrack/src/rollout/tests.rs
@@ -44,7 +44,7 @@
     let members: Vec<Member> =
         versions.iter().enumerate().map(|(at, version)| member(&format!("vm-{at}"), *version)).collect();
     let members: Vec<&Member> = members.iter().collect();
-    book.view().parts("lab", &members).expect("a roll-out")
+    book.view().traffic_shares("lab", &members).expect("a roll-out")
 }
 
 #[test_case(None, "UUUBBBB"; "an order alone sends the new version no calls")]
