--- a/valetrack/src/bundle/adopt.rs
+++ b/valetrack/src/bundle/adopt.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records that a bundle of this number was published; returns whether it is later than the one in force.
-    pub fn wants(&self, number: u64) -> bool {
+    pub fn record_number(&self, number: u64) -> bool {
         number > self.number() && self.adoption.borrow_mut().record_published(number)
     }
 
--- a/valetrack/src/bundle/run.rs
+++ b/valetrack/src/bundle/run.rs
@@ -184,7 +184,7 @@
 
     async fn apply_doc(&self, doc: &CurrentDoc) {
         self.evacuation.send_if_modified(|current| current.merge(&doc.evacuation));
-        if !self.adopter.wants(doc.number) {
+        if !self.adopter.record_number(doc.number) {
             return;
         }
         self.metrics.store_calls.with_label_values(&["read"]).inc();
--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -309,7 +309,7 @@
 
     /// Fetches a bundle from another node if it is later than the one in force here.
     fn on_bundle_announced(self: Rc<Self>, number: u64, from: Target) {
-        if !self.adopter.wants(number) {
+        if !self.adopter.record_number(number) {
             return;
         }
         tokio::task::spawn_local(async move { self.fetch_bundle(from).await });
--- a/valetrack/src/member/leased/older.rs
+++ b/valetrack/src/member/leased/older.rs
@@ -102,7 +102,7 @@
         if theirs < self.adopter.number() {
             return self.send_state(peer).await;
         }
-        if self.adopter.wants(theirs) {
+        if self.adopter.record_number(theirs) {
             self.fetch_bundle(peer).await;
         }
     }
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -165,7 +165,7 @@
 
     /// Fetches a bundle from another node if it is later than the one in force here.
     fn on_bundle_announced(self: &Rc<Self>, number: u64, from: Target) {
-        if !self.bundler.adopter.wants(number) {
+        if !self.bundler.adopter.record_number(number) {
             return;
         }
         let shell = self.clone();
