--- a/valetrack/src/bundle/adopt.rs
+++ b/valetrack/src/bundle/adopt.rs
@@ -53,7 +53,7 @@
     }
 
     /// Adopts the bundle of another node if it is valid and later.
-    pub fn take_from_peer(&self, number: u64, version: &str, text: &Bytes) {
+    pub fn offer_from_peer(&self, number: u64, version: &str, text: &Bytes) {
         match std::str::from_utf8(text) {
             Ok(text) => self.offer(number, version, text, "peer"),
             Err(_) => log::warn!("event=bundle.refused number={number} code={}", Code::BundleDamaged),
--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -321,7 +321,7 @@
         if let LinkResult::Reply(answered) = self.request(from, request).await
             && let Reply::Bundle { number, version } = answered.head.reply
         {
-            self.adopter.take_from_peer(number, &version, &answered.body);
+            self.adopter.offer_from_peer(number, &version, &answered.body);
         }
     }
 
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -174,7 +174,7 @@
             if let LinkResult::Reply(answered) = shell.request(from, request).await
                 && let Reply::Bundle { number, version } = answered.head.reply
             {
-                shell.bundler.adopter.take_from_peer(number, &version, &answered.body);
+                shell.bundler.adopter.offer_from_peer(number, &version, &answered.body);
             }
         });
     }
