--- a/valetrack/src/bundle/operator.rs
+++ b/valetrack/src/bundle/operator.rs
@@ -149,7 +149,7 @@
 /// Returns [`OperatorError::RaceLost`] with the winner if another operator published in between, the reason for which
 /// the bundle cannot be published, or the error of the store.
 pub async fn publish(store: &dyn Store, operator: &str, version: &str) -> Result<u64, OperatorError> {
-    Ok(roll_over(store, operator, version, 0).await?.number)
+    Ok(publish_above(store, operator, version, 0).await?.number)
 }
 
 /// Publishes an approved bundle under a number that is higher than the one in the store and than `served`, the highest
@@ -158,7 +158,12 @@
 /// # Errors
 ///
 /// Returns the same errors as [`publish`].
-pub async fn roll_over(store: &dyn Store, operator: &str, version: &str, served: u64) -> Result<Rolled, OperatorError> {
+pub async fn publish_above(
+    store: &dyn Store,
+    operator: &str,
+    version: &str,
+    served: u64,
+) -> Result<Rolled, OperatorError> {
     let written = read_text(store, version).await?;
     let approval = store.read(&approval_key(version)).await?;
     let approved = approval.value.and_then(|kv| serde_json::from_slice::<ApprovedDoc>(&kv.value).ok());
--- a/valetrack/src/cli.rs
+++ b/valetrack/src/cli.rs
@@ -321,7 +321,7 @@
     let operator = operator_name(options)?;
     let store = store(options)?;
     let served = served_number(options)?;
-    let published = block_on(operator::roll_over(&store, &operator, version, served))?;
+    let published = block_on(operator::publish_above(&store, &operator, version, served))?;
     let Rolled { number, held, is_restored } =
         published.map_err(|error| operator_failure(error, None, options.json))?;
     let data = json!({
