--- a/valetrack/src/bundle/operator.rs
+++ b/valetrack/src/bundle/operator.rs
@@ -133,7 +133,7 @@
 
 /// Result of publishing a bundle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rolled {
+pub struct Publication {
     /// Number of the publication.
     pub number: u64,
     /// Number in the store before; zero if there was none.
@@ -163,7 +163,7 @@
     operator: &str,
     version: &str,
     served: u64,
-) -> Result<Rolled, OperatorError> {
+) -> Result<Publication, OperatorError> {
     let written = read_text(store, version).await?;
     let approval = store.read(&approval_key(version)).await?;
     let approved = approval.value.and_then(|kv| serde_json::from_slice::<ApprovedDoc>(&kv.value).ok());
@@ -177,7 +177,7 @@
     let mut next = next_current(&before, operator, version);
     next.number = next.number.max(served + 1);
     let number = publish_at(store, before.position(), next).await?;
-    Ok(Rolled { number, held: held.map_or(0, |doc| doc.number), is_restored })
+    Ok(Publication { number, held: held.map_or(0, |doc| doc.number), is_restored })
 }
 
 /// Evacuates a failure domain, or returns it to service; returns the number of the evacuation in force.
--- a/valetrack/src/cli.rs
+++ b/valetrack/src/cli.rs
@@ -11,7 +11,7 @@
 use lexopt::prelude::*;
 use serde_json::json;
 
-use crate::bundle::operator::{self, OperatorError, Rolled};
+use crate::bundle::operator::{self, OperatorError, Publication};
 use crate::bundle::{Bundle, Fault, check};
 use crate::code::Code;
 use crate::link::tls::{self, EXPIRY_WARNING_DAYS, KeyError};
@@ -322,7 +322,7 @@
     let store = store(options)?;
     let served = served_number(options)?;
     let published = block_on(operator::publish_above(&store, &operator, version, served))?;
-    let Rolled { number, held, is_restored } =
+    let Publication { number, held, is_restored } =
         published.map_err(|error| operator_failure(error, None, options.json))?;
     let data = json!({
         "version": version, "number": number, "store_held": held, "nodes_served": served, "store_restored": is_restored,
