--- a/valetrack/src/member/leased/rollout.rs
+++ b/valetrack/src/member/leased/rollout.rs
@@ -55,7 +55,7 @@
             ordered.extend(self.parts.rollouts.ordered_service(&item.key).map(Arc::from));
             self.apply_rollout(&Change::Put(item.clone()));
         }
-        self.rollouts.borrow_mut().keep_ordered(&ordered);
+        self.rollouts.borrow_mut().retain_ordered(&ordered);
     }
 
     /// Applies one change of a roll-out; returns whether the recorded roll-outs changed.
--- a/valetrack/src/rollout/book.rs
+++ b/valetrack/src/rollout/book.rs
@@ -80,7 +80,7 @@
 
     /// Removes the orders of all services that are not in `services`, from a complete read of the store; returns
     /// whether there were any.
-    pub fn keep_ordered(&mut self, services: &[Arc<str>]) -> bool {
+    pub fn retain_ordered(&mut self, services: &[Arc<str>]) -> bool {
         let before = self.orders.len();
         self.orders.retain(|service, _| services.contains(service));
         self.orders.len() != before
