--- a/valetrack/src/member/leased/rollout.rs
+++ b/valetrack/src/member/leased/rollout.rs
@@ -64,7 +64,7 @@
         let changed = match (change, service) {
             (Change::Put(item), Some(service)) => self.apply_order(service, item),
             (Change::Put(item), None) => self.apply_doc(item),
-            (Change::Gone { .. }, Some(service)) => self.rollouts.borrow_mut().withdrawn(service),
+            (Change::Gone { .. }, Some(service)) => self.rollouts.borrow_mut().remove_order(service),
             // A stage that was reached remains in force without its document.
             (Change::Gone { .. }, None) => false,
         };
--- a/valetrack/src/rollout/book.rs
+++ b/valetrack/src/rollout/book.rs
@@ -55,7 +55,7 @@
     }
 
     /// Removes the order of a service; returns whether there was one.
-    pub fn withdrawn(&mut self, service: &str) -> bool {
+    pub fn remove_order(&mut self, service: &str) -> bool {
         self.orders.remove(service).is_some()
     }
 
