--- a/valetrack/src/member/leased/rollout.rs
+++ b/valetrack/src/member/leased/rollout.rs
@@ -95,7 +95,7 @@
     }
 
     fn apply_doc(&self, item: &Item) -> bool {
-        let outcome = self.rollouts.borrow_mut().stored(item, now_us());
+        let outcome = self.rollouts.borrow_mut().apply_item(item, now_us());
         match outcome {
             Ok(new) => {
                 if new {
--- a/valetrack/src/rollout/book.rs
+++ b/valetrack/src/rollout/book.rs
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Returns the reason for which the item cannot be parsed; the recorded document stays.
-    pub fn stored(&mut self, item: &Item, now_us: u64) -> Result<bool, String> {
+    pub fn apply_item(&mut self, item: &Item, now_us: u64) -> Result<bool, String> {
         let Some(service) = item.key.strip_prefix(DOC_PREFIX) else {
             return Ok(false);
         };
--- a/valetrack/src/rollout/tests.rs
+++ b/valetrack/src/rollout/tests.rs
@@ -38,7 +38,7 @@
         let doc = RolloutDoc { version: Arc::from("v2"), order: 7, stage };
         let value = serde_json::to_vec(&doc).expect("a document");
         let item = Item { key: doc_key("lab"), value, position: Position::new(Era::default(), 9), lease: None };
-        assert_eq!(book.stored(&item, 0), Ok(true));
+        assert_eq!(book.apply_item(&item, 0), Ok(true));
     }
     let versions = [Some("v1"), Some("v1"), Some("v1"), Some("v2"), Some("v2"), Some("v2"), None];
     let members: Vec<Member> =
@@ -69,10 +69,10 @@
     let doc = RolloutDoc { version: Arc::from("v2"), order: 3, stage: Stage::Completed };
     let value = serde_json::to_vec(&doc).expect("a document");
     let item = Item { key: doc_key("lab"), value, position: Position::new(Era::default(), 9), lease: None };
-    assert_eq!(book.stored(&item, 0), Ok(true));
+    assert_eq!(book.apply_item(&item, 0), Ok(true));
     assert_eq!(book.of("lab").and_then(|rollout| rollout.stage), None);
     let invalid = Item { value: b"{}".to_vec(), ..item };
-    assert!(book.stored(&invalid, 0).is_err());
+    assert!(book.apply_item(&invalid, 0).is_err());
 }
 
 #[test_case(1, 4; "a small service")]
