--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -151,7 +151,7 @@
 
     /// Returns whether the next call goes to a server on trial.
     pub fn next_is_trial(&mut self) -> bool {
-        self.is_in_rollout && self.trial.takes_next()
+        self.is_in_rollout && self.trial.next_goes_to_trial()
     }
 
     /// Returns the servers whose traffic share differs from `traffic_share`.
--- a/valetrack/src/rollout/share.rs
+++ b/valetrack/src/rollout/share.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns whether the next call goes to the new version.
-    pub fn takes_next(&mut self) -> bool {
+    pub fn next_goes_to_trial(&mut self) -> bool {
         self.credit_permille += self.permille;
         let is_trial = self.credit_permille >= PERMILLE;
         if is_trial {
--- a/valetrack/src/rollout/tests.rs
+++ b/valetrack/src/rollout/tests.rs
@@ -82,7 +82,7 @@
     assert_eq!(trial_size(old), trial);
     let mut share = TrialShare::default();
     share.configure(trial, old, 400);
-    let taken = (0..10_000).filter(|_| share.takes_next()).count();
+    let taken = (0..10_000).filter(|_| share.next_goes_to_trial()).count();
     assert!(taken <= 501, "{taken} of 10,000");
     let fair = 10_000 * trial / (trial + old);
     assert!(taken + 10 >= fair.min(500), "the share loads them as usual: {taken} of {fair}");
