--- a/valetrack/src/rollout/tests.rs
+++ b/valetrack/src/rollout/tests.rs
@@ -31,20 +31,20 @@
 /// Returns the traffic share of each upstream: three of the old version, three of the new one, and one whose version is
 /// unknown.
 fn shares_at(stage: Option<Stage>) -> Vec<TrafficShare> {
-    let mut book = RolloutRegistry::default();
+    let mut registry = RolloutRegistry::default();
     let order = RolloutOrder { service: Arc::from("lab"), version: Arc::from("v2"), within_ms: 12_000 };
-    book.ordered(order, Position::new(Era::default(), 7), 0);
+    registry.ordered(order, Position::new(Era::default(), 7), 0);
     if let Some(stage) = stage {
         let doc = RolloutDoc { version: Arc::from("v2"), order: 7, stage };
         let value = serde_json::to_vec(&doc).expect("a document");
         let item = Item { key: doc_key("lab"), value, position: Position::new(Era::default(), 9), lease: None };
-        assert_eq!(book.apply_item(&item, 0), Ok(true));
+        assert_eq!(registry.apply_item(&item, 0), Ok(true));
     }
     let versions = [Some("v1"), Some("v1"), Some("v1"), Some("v2"), Some("v2"), Some("v2"), None];
     let members: Vec<Member> =
         versions.iter().enumerate().map(|(at, version)| member(&format!("vm-{at}"), *version)).collect();
     let members: Vec<&Member> = members.iter().collect();
-    book.view().traffic_shares("lab", &members).expect("a roll-out")
+    registry.view().traffic_shares("lab", &members).expect("a roll-out")
 }
 
 #[test_case(None, "UUUBBBB"; "an order alone sends the new version no calls")]
@@ -63,16 +63,16 @@
 
 #[test]
 fn document_of_another_order_is_ignored() {
-    let mut book = RolloutRegistry::default();
+    let mut registry = RolloutRegistry::default();
     let order = RolloutOrder { service: Arc::from("lab"), version: Arc::from("v2"), within_ms: 12_000 };
-    book.ordered(order, Position::new(Era::default(), 7), 0);
+    registry.ordered(order, Position::new(Era::default(), 7), 0);
     let doc = RolloutDoc { version: Arc::from("v2"), order: 3, stage: Stage::Completed };
     let value = serde_json::to_vec(&doc).expect("a document");
     let item = Item { key: doc_key("lab"), value, position: Position::new(Era::default(), 9), lease: None };
-    assert_eq!(book.apply_item(&item, 0), Ok(true));
-    assert_eq!(book.of("lab").and_then(|rollout| rollout.stage), None);
+    assert_eq!(registry.apply_item(&item, 0), Ok(true));
+    assert_eq!(registry.of("lab").and_then(|rollout| rollout.stage), None);
     let invalid = Item { value: b"{}".to_vec(), ..item };
-    assert!(book.apply_item(&invalid, 0).is_err());
+    assert!(registry.apply_item(&invalid, 0).is_err());
 }
 
 #[test_case(1, 4; "a small service")]
