--- a/valetrack/src/rollout/decision.rs
+++ b/valetrack/src/rollout/decision.rs
@@ -1,6 +1,6 @@
 //! Decisions of a node that drives a roll-out, without I/O.
 
-use super::judge::{Verdict, compare};
+use super::comparison::{Verdict, compare};
 use super::message::{RouteRuns, Stage};
 
 /// Part of the time of an order for which the new version is on trial; faults of a version may show late.
--- a/valetrack/src/rollout/mod.rs
+++ b/valetrack/src/rollout/mod.rs
@@ -5,18 +5,18 @@
 //! from then on. A roll-out is reported as completed only after the old version's upstreams have stopped receiving new
 //! calls. Every node acts on the documents in the store, so that all nodes apply the same share to the same upstreams.
 
+mod comparison;
 mod count;
 mod decision;
-mod judge;
 mod message;
 mod registry;
 mod share;
 #[cfg(test)]
 mod tests;
 
+pub use comparison::{Verdict, compare};
 pub use count::RunCounter;
 pub use decision::{Decision, Evidence, Progress, decide};
-pub use judge::{Verdict, compare};
 pub use message::{
     DOC_PREFIX, RolloutDoc, RolloutFormat, RolloutOrder, RolloutState, RouteRuns, Stage, TrafficShare, doc_key,
 };
