--- a/valetrack/src/bundle/run.rs
+++ b/valetrack/src/bundle/run.rs
@@ -27,7 +27,7 @@
 const REWATCH_MS: u64 = 500;
 
 /// Follows the store's bundles for a node.
-pub struct Bundler {
+pub struct BundleFollower {
     vm: Arc<str>,
     domain: Arc<str>,
     /// Puts bundles in force.
@@ -40,7 +40,7 @@
     published_history: RefCell<PublishedHistory>,
 }
 
-impl Bundler {
+impl BundleFollower {
     /// Creates a bundler without a bundle.
     pub fn new(
         vm: Arc<str>,
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -14,7 +14,7 @@
 use super::list::VmList;
 use super::message::{FollowerReply, GossipReply, Member, MemberJob, Phase};
 use super::state::Members;
-use crate::bundle::run::Bundler;
+use crate::bundle::run::BundleFollower;
 use crate::claim::{ClaimReport, ClaimState, PeerReport};
 use crate::clock::now_us;
 use crate::jobs::Duties;
@@ -67,7 +67,7 @@
 
 struct Shell {
     parts: MemberParts,
-    bundler: Rc<Bundler>,
+    bundler: Rc<BundleFollower>,
     members: RefCell<Members>,
     me: RefCell<Member>,
     rng: RefCell<fastrand::Rng>,
@@ -78,7 +78,7 @@
 }
 
 /// Runs membership until the thread must end; must run on a local task set.
-pub async fn run(parts: MemberParts, bundler: Bundler) {
+pub async fn run(parts: MemberParts, bundler: BundleFollower) {
     let rng = fastrand::Rng::with_seed(parts.seed);
     let shell = Rc::new(Shell {
         members: RefCell::new(Members::default()),
--- a/valetrack/src/node/start.rs
+++ b/valetrack/src/node/start.rs
@@ -13,7 +13,7 @@
 use super::thread::spawn;
 use crate::admin::run::AdminParts;
 use crate::bundle::Adopter;
-use crate::bundle::run::Bundler;
+use crate::bundle::run::BundleFollower;
 use crate::caller::keyed::KeyedRouter;
 use crate::caller::run::ListenerParts;
 use crate::claim::Home;
@@ -171,7 +171,7 @@
     fn start_listed(&self, list: Arc<dyn VmList>, store: Arc<dyn Store>) -> std::io::Result<JoinHandle<()>> {
         let settings = &self.settings;
         let me = self.me();
-        let bundler = Bundler::new(
+        let bundler = BundleFollower::new(
             settings.vm.clone(),
             settings.domain.clone(),
             store,
