--- a/standin/src/bench/world.rs
+++ b/standin/src/bench/world.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use hdrhistogram::Histogram;
-use valetrack::gate::{AttemptId, ColdRule, Gate, GateAction, GateConfig, GateEvent, LoadReport, Patience};
+use valetrack::gate::{AttemptId, ColdRule, Gate, GateAction, GateConfig, GateEvent, LoadReport, QueueTimeout};
 use valetrack::placement::{
     Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Dispatch, RateBudget, RetryBudget, ServiceView,
     Verdict,
@@ -42,7 +42,7 @@
     /// A new caller arrives.
     Caller,
     /// An attempt reaches its owner.
-    Arrive { call: usize, attempt: AttemptId, server: usize, patience: Patience },
+    Arrive { call: usize, attempt: AttemptId, server: usize, patience: QueueTimeout },
     /// A cancellation reaches the owner.
     Cancel { call: usize, attempt: AttemptId, server: usize },
     /// A server has finished a run.
--- a/standin/src/crash/fleet.rs
+++ b/standin/src/crash/fleet.rs
@@ -7,7 +7,7 @@
 use valetrack::crash::{
     CrashHistory, CrashId, CrashReport, CrashedCall, FingerprintKey, RecentAnswers, Suspect, archive,
 };
-use valetrack::gate::{AttemptId, Patience};
+use valetrack::gate::{AttemptId, QueueTimeout};
 use valetrack::link::message::CallHead;
 
 use super::way::SpreadMethod;
@@ -274,7 +274,7 @@
         depth: 1,
         made_by_run: false,
         repeat_permille: 0,
-        patience: Patience::Long,
+        patience: QueueTimeout::Long,
         key: None,
         hlc: 0,
     }
--- a/standin/src/overload/world/owner.rs
+++ b/standin/src/overload/world/owner.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use valetrack::code::Code;
-use valetrack::gate::{AttemptId, GateAction, GateEvent, Patience, RunTimes, objective};
+use valetrack::gate::{AttemptId, GateAction, GateEvent, QueueTimeout, RunTimes, objective};
 use valetrack::link::message::CallHead;
 use valetrack::placement::{CallEvent, Dispatch};
 
@@ -252,7 +252,7 @@
         depth: 0,
         made_by_run: false,
         repeat_permille: 0,
-        patience: Patience::Long,
+        patience: QueueTimeout::Long,
         key: None,
         hlc: 0,
     }
--- a/standin/src/slope.rs
+++ b/standin/src/slope.rs
@@ -7,7 +7,7 @@
 
 use valetrack::bundle::check;
 use valetrack::claim::{ClaimReport, KeptAnswer, KeyDigest, Page, PageEntry, Record};
-use valetrack::gate::{AttemptId, Gate, GateConfig, GateEvent, LoadReport, Patience};
+use valetrack::gate::{AttemptId, Gate, GateConfig, GateEvent, LoadReport, QueueTimeout};
 use valetrack::link::codec::pack;
 use valetrack::link::message::{Ask, Reply, ReplyHead, Riding};
 use valetrack::member::{Evacuation, ListedVm, Member, Members, Phase};
@@ -209,7 +209,7 @@
         let arrive = GateEvent::Arrive {
             attempt,
             deadline_us: now_us + 1_000_000,
-            patience: Patience::Long,
+            patience: QueueTimeout::Long,
             priority: 0,
             objective: None,
         };
--- a/valetrack/benches/decision.rs
+++ b/valetrack/benches/decision.rs
@@ -5,7 +5,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use valetrack::crash::{CrashHistory, CrashId, CrashReport, FingerprintKey, RecentAnswers, Suspect};
-use valetrack::gate::{AttemptId, Gate, GateConfig, GateEvent, LoadReport, Patience};
+use valetrack::gate::{AttemptId, Gate, GateConfig, GateEvent, LoadReport, QueueTimeout};
 use valetrack::link::codec::{pack, unpack};
 use valetrack::link::message::{CallHead, Reply, ReplyHead, Riding};
 use valetrack::placement::{Demand, Policy, RetryBudget, ServerSet, ServiceView};
@@ -64,7 +64,7 @@
             let arrive = GateEvent::Arrive {
                 attempt,
                 deadline_us: now_us + 1_000_000,
-                patience: Patience::Long,
+                patience: QueueTimeout::Long,
                 priority: 0,
                 objective: None,
             };
@@ -105,7 +105,7 @@
         depth: 1,
         made_by_run: false,
         repeat_permille: 0,
-        patience: Patience::Long,
+        patience: QueueTimeout::Long,
         key: None,
         hlc: 1,
     }
--- a/valetrack/src/caller/request.rs
+++ b/valetrack/src/caller/request.rs
@@ -7,7 +7,7 @@
 
 use crate::bundle::{AccountRule, AccountTable, Bundle, ServiceRule};
 use crate::code::Code;
-use crate::gate::{ACCOUNT_HEADER, AttemptId, PERMILLE, Patience, REPEAT_HEADER, travelling};
+use crate::gate::{ACCOUNT_HEADER, AttemptId, PERMILLE, QueueTimeout, REPEAT_HEADER, travelling};
 use crate::link::message::CallHead;
 
 /// Header with the name of the service; without it, the first label of the host is the name.
@@ -107,7 +107,7 @@
         depth: depth as u8 + 1,
         made_by_run: depth > 0,
         repeat_permille,
-        patience: Patience::Long,
+        patience: QueueTimeout::Long,
         key: key.filter(|_| !repeatable).map(Arc::from),
         hlc: 0,
     };
--- a/valetrack/src/crash/tests.rs
+++ b/valetrack/src/crash/tests.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use super::*;
-use crate::gate::{AttemptId, Patience};
+use crate::gate::{AttemptId, QueueTimeout};
 use crate::link::message::CallHead;
 
 /// Key of fingerprints that is not secret.
@@ -36,7 +36,7 @@
         depth: 1,
         made_by_run: false,
         repeat_permille: 0,
-        patience: Patience::Short,
+        patience: QueueTimeout::Short,
         key: None,
         hlc: 9,
     }
--- a/valetrack/src/crash/tests/fingerprint.rs
+++ b/valetrack/src/crash/tests/fingerprint.rs
@@ -13,7 +13,7 @@
         origin: Arc::from("ledger"),
         account: None,
         deadline_ms: 7,
-        patience: Patience::Last,
+        patience: QueueTimeout::Last,
         repeat_permille: 1000,
         hlc: 77,
         ..first.clone()
--- a/valetrack/src/gate/message.rs
+++ b/valetrack/src/gate/message.rs
@@ -92,7 +92,7 @@
 
 /// How long an entry lets an attempt wait for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Patience {
+pub enum QueueTimeout {
     /// The attempt starts at once or not at all. Hedges use this, since they justify a free slot but no place in a
     /// queue.
     None,
@@ -146,7 +146,7 @@
         /// Deadline of the call on this process's monotonic clock.
         deadline_us: u64,
         /// How long the entry lets the attempt wait.
-        patience: Patience,
+        patience: QueueTimeout,
         /// Rank in the queue; zero goes first.
         priority: u8,
         /// Objective and expected duration of the call; `None` if the gate's own limits apply.
--- a/valetrack/src/gate/mod.rs
+++ b/valetrack/src/gate/mod.rs
@@ -33,7 +33,8 @@
 pub use ledger::RunLedger;
 pub use limit::ConcurrencyLimit;
 pub use message::{
-    AttemptId, BounceReason, CancelResult, GateAction, GateEvent, LoadReport, Objective, PERMILLE, Patience, RunTimes,
+    AttemptId, BounceReason, CancelResult, GateAction, GateEvent, LoadReport, Objective, PERMILLE, QueueTimeout,
+    RunTimes,
 };
 pub use objective::objective;
 pub use origin::OriginTracker;
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -9,7 +9,7 @@
 use super::cold::{ColdBound, ColdRule};
 use super::limit::ConcurrencyLimit;
 use super::message::{
-    AttemptId, BounceReason, CancelResult, GateAction, GateEvent, LoadReport, Objective, Patience, RunTimes,
+    AttemptId, BounceReason, CancelResult, GateAction, GateEvent, LoadReport, Objective, QueueTimeout, RunTimes,
 };
 use super::outage::Outage;
 use super::pace::fading;
@@ -63,7 +63,7 @@
     attempt: AttemptId,
     deadline_us: u64,
     leave_at_us: u64,
-    patience: Patience,
+    patience: QueueTimeout,
     priority: u8,
     /// Latest start at which the run should still end within its objective.
     objective_start_by_us: u64,
--- a/valetrack/src/gate/state/queue.rs
+++ b/valetrack/src/gate/state/queue.rs
@@ -1,7 +1,7 @@
 //! The gate's queue: which attempts wait for a slot, which are declined, and which start.
 
 use super::{Gate, Running, Waiting};
-use crate::gate::message::{AttemptId, BounceReason, GateAction, GateEvent, Objective, PERMILLE, Patience};
+use crate::gate::message::{AttemptId, BounceReason, GateAction, GateEvent, Objective, PERMILLE, QueueTimeout};
 
 /// An attempt is declined if its utility elsewhere is higher by this much, as a share of the utility of an answer in
 /// time. The transfer to another server takes time as well.
@@ -54,8 +54,10 @@
         }
         let leave_at_us = match patience {
             // No better server is available to these attempts, so they stay once they are admitted.
-            Patience::Long | Patience::Last => call.deadline_start_by_us(),
-            Patience::None | Patience::Short => call.deadline_start_by_us().min(now_us + self.service_us as u64),
+            QueueTimeout::Long | QueueTimeout::Last => call.deadline_start_by_us(),
+            QueueTimeout::None | QueueTimeout::Short => {
+                call.deadline_start_by_us().min(now_us + self.service_us as u64)
+            }
         };
         // Order by rank, then by arrival.
         let at = self.waiting.partition_point(|other| other.priority <= priority);
@@ -89,9 +91,9 @@
             }
         }
         let slow = match call.patience {
-            Patience::None => deferred || beside_suspect,
-            Patience::Short => objective.is_some_and(|objective| self.is_too_slow_for(objective, now_us)),
-            Patience::Long | Patience::Last => false,
+            QueueTimeout::None => deferred || beside_suspect,
+            QueueTimeout::Short => objective.is_some_and(|objective| self.is_too_slow_for(objective, now_us)),
+            QueueTimeout::Long | QueueTimeout::Last => false,
         };
         slow.then_some(BounceReason::Slow)
     }
@@ -116,16 +118,16 @@
     /// in a burst of 2.2 times its usual load and in a cold start.
     fn queue_decline_reason(&self, call: &Waiting, wait_max_us: u64, now_us: u64) -> Option<BounceReason> {
         let Waiting { deadline_us, patience, run_us, .. } = *call;
-        if self.config.rescue && patience != Patience::Last && self.stalled(now_us) {
+        if self.config.rescue && patience != QueueTimeout::Last && self.stalled(now_us) {
             return Some(BounceReason::Stalled);
         }
         let wait_us = self.slot_wait_us(call, now_us).max(self.cold_wait_us(call, now_us));
         let timeout_us = match patience {
-            Patience::None => 0,
-            Patience::Short => wait_max_us.min(self.service_us as u64 / 2),
-            Patience::Long => wait_max_us,
+            QueueTimeout::None => 0,
+            QueueTimeout::Short => wait_max_us.min(self.service_us as u64 / 2),
+            QueueTimeout::Long => wait_max_us,
             // The attempt was admitted elsewhere or declined everywhere, so declining it now would come late.
-            Patience::Last => wait_max_us * LAST_WAIT_FACTOR,
+            QueueTimeout::Last => wait_max_us * LAST_WAIT_FACTOR,
         };
         let start_us = now_us + wait_us;
         let too_late = start_us + run_us > deadline_us || start_us > call.objective_start_by_us;
@@ -175,7 +177,7 @@
             let waiting = self.waiting[kept];
             let reason = match () {
                 () if now_us >= waiting.leave_at_us => BounceReason::Full,
-                () if stalled && waiting.patience != Patience::Last => BounceReason::Stalled,
+                () if stalled && waiting.patience != QueueTimeout::Last => BounceReason::Stalled,
                 () => {
                     kept += 1;
                     continue;
--- a/valetrack/src/gate/tests/cold.rs
+++ b/valetrack/src/gate/tests/cold.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-use crate::gate::{AttemptId, ColdBound, ColdRule, Gate, GateAction, GateConfig, GateEvent, Objective, Patience};
+use crate::gate::{AttemptId, ColdBound, ColdRule, Gate, GateAction, GateConfig, GateEvent, Objective, QueueTimeout};
 
 const SECOND_US: u64 = 1_000_000;
 /// Window in which starts are counted.
@@ -22,7 +22,7 @@
     GateEvent::Arrive {
         attempt: AttemptId { entry: 1, seq },
         deadline_us: now_us + SECOND_US,
-        patience: Patience::Long,
+        patience: QueueTimeout::Long,
         priority: 1,
         objective: Some(Objective { left_us: 200_000, work_us: 1_000, elsewhere_permille: 0, wait_max_us }),
     }
--- a/valetrack/src/gate/tests/connection.rs
+++ b/valetrack/src/gate/tests/connection.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::gate::pool::{ServerError, ServerPool};
-use crate::gate::{AttemptId, NativeUpstream, Patience};
+use crate::gate::{AttemptId, NativeUpstream, QueueTimeout};
 use crate::link::message::CallHead;
 
 const CAP_BYTES: usize = 1_000;
@@ -39,7 +39,7 @@
         depth: 1,
         made_by_run: false,
         repeat_permille: 0,
-        patience: Patience::Long,
+        patience: QueueTimeout::Long,
         key: None,
         hlc: 0,
     }
--- a/valetrack/src/gate/tests/evacuation.rs
+++ b/valetrack/src/gate/tests/evacuation.rs
@@ -1,10 +1,10 @@
 //! The gate of a server whose failure domain is evacuated.
 
-use crate::gate::{AttemptId, BounceReason, ColdRule, Gate, GateAction, GateConfig, GateEvent, Patience};
+use crate::gate::{AttemptId, BounceReason, ColdRule, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 fn arrival(seq: u64) -> GateEvent {
     let attempt = AttemptId { entry: 1, seq };
-    GateEvent::Arrive { attempt, deadline_us: u64::MAX / 2, patience: Patience::Long, priority: 1, objective: None }
+    GateEvent::Arrive { attempt, deadline_us: u64::MAX / 2, patience: QueueTimeout::Long, priority: 1, objective: None }
 }
 
 fn declined(seq: u64) -> GateAction {
--- a/valetrack/src/gate/tests/outage.rs
+++ b/valetrack/src/gate/tests/outage.rs
@@ -1,10 +1,10 @@
 //! Upstreams that refuse connections.
 
-use crate::gate::{AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, Patience};
+use crate::gate::{AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 fn arrival(seq: u64) -> GateEvent {
     let attempt = AttemptId { entry: 1, seq };
-    GateEvent::Arrive { attempt, deadline_us: u64::MAX / 2, patience: Patience::Long, priority: 1, objective: None }
+    GateEvent::Arrive { attempt, deadline_us: u64::MAX / 2, patience: QueueTimeout::Long, priority: 1, objective: None }
 }
 
 /// Sends a call to a gate whose upstream refuses every connection; returns whether the gate started it.
--- a/valetrack/src/gate/tests/property.rs
+++ b/valetrack/src/gate/tests/property.rs
@@ -4,11 +4,11 @@
 
 use proptest::prelude::*;
 
-use crate::gate::{AttemptId, BounceReason, CancelResult, Gate, GateAction, GateConfig, GateEvent, Patience};
+use crate::gate::{AttemptId, BounceReason, CancelResult, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 #[derive(Debug, Clone)]
 enum Choice {
-    Arrive { seq: u64, limit_us: u64, patience: Patience },
+    Arrive { seq: u64, limit_us: u64, patience: QueueTimeout },
     End { at: usize, healthy: bool },
     Refuse { at: usize },
     Cancel { seq: u64 },
@@ -18,7 +18,7 @@
 
 fn choice() -> impl Strategy<Value = Choice> {
     prop_oneof![
-        8 => (0..40u64, 0..200_000u64, prop::sample::select(vec![Patience::None, Patience::Short, Patience::Long, Patience::Last]))
+        8 => (0..40u64, 0..200_000u64, prop::sample::select(vec![QueueTimeout::None, QueueTimeout::Short, QueueTimeout::Long, QueueTimeout::Last]))
             .prop_map(|(seq, limit_us, patience)| Choice::Arrive { seq, limit_us, patience }),
         6 => (any::<usize>(), any::<bool>()).prop_map(|(at, healthy)| Choice::End { at, healthy }),
         1 => any::<usize>().prop_map(|at| Choice::Refuse { at }),
--- a/valetrack/src/gate/tests/speed.rs
+++ b/valetrack/src/gate/tests/speed.rs
@@ -4,7 +4,7 @@
 
 use crate::gate::{
     AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, KeptSpeedShare, LoadReport, Objective, Pace,
-    Patience, RunTimes, SLOWDOWN_DURATION_US, Speed, utility_at,
+    QueueTimeout, RunTimes, SLOWDOWN_DURATION_US, Speed, utility_at,
 };
 
 /// Returns the estimate for a machine that is certainly slowed by `slow`, with runs of one kind only.
@@ -138,7 +138,7 @@
         let arrive = GateEvent::Arrive {
             attempt,
             deadline_us: now_us + 1_000_000,
-            patience: Patience::Last,
+            patience: QueueTimeout::Last,
             priority: 0,
             objective: None,
         };
@@ -164,7 +164,7 @@
     let arrive = GateEvent::Arrive {
         attempt: ATTEMPT,
         deadline_us: 1_000_000,
-        patience: Patience::Short,
+        patience: QueueTimeout::Short,
         priority: 0,
         objective: Some(objective),
     };
@@ -186,7 +186,7 @@
 }
 
 /// Opens a gate whose machine is slowed five times from the start, and sends it a call of [`WORK_US`].
-fn arrive_in_episode(patience: Patience) -> (Gate, Vec<GateAction>) {
+fn arrive_in_episode(patience: QueueTimeout) -> (Gate, Vec<GateAction>) {
     let mut gate = Gate::new(GateConfig::default(), 0);
     gate.told(500, 0);
     let objective = Objective { left_us: 250_000, work_us: WORK_US, elsewhere_permille: 0, wait_max_us: 50_000 };
@@ -204,7 +204,7 @@
 
 #[test]
 fn run_is_deferred_until_slow_episode_ends() {
-    let (mut gate, out) = arrive_in_episode(Patience::Long);
+    let (mut gate, out) = arrive_in_episode(QueueTimeout::Long);
     assert_eq!(out, [], "the run is deferred although slots are free");
     assert!(gate.asks_about_episode(20_000), "the machine is asked during the wait");
     let mut out = Vec::new();
@@ -215,7 +215,7 @@
 
 #[test]
 fn run_is_not_deferred_by_unending_episode() {
-    let (mut gate, _) = arrive_in_episode(Patience::Long);
+    let (mut gate, _) = arrive_in_episode(QueueTimeout::Long);
     let mut out = Vec::new();
     let started_us = (1..500).map(|step| step * 10_000).find(|&now_us| {
         gate.told(500, now_us);
@@ -228,7 +228,7 @@
 
 #[test]
 fn unanswered_requests_end_deferral() {
-    let (mut gate, _) = arrive_in_episode(Patience::Long);
+    let (mut gate, _) = arrive_in_episode(QueueTimeout::Long);
     let mut out = Vec::new();
     gate.handle(GateEvent::Tick, 100_000, &mut out);
     assert_eq!(out, [STARTED]);
@@ -236,7 +236,7 @@
 
 #[test]
 fn hedge_is_declined_during_slow_episode() {
-    let (_, out) = arrive_in_episode(Patience::None);
+    let (_, out) = arrive_in_episode(QueueTimeout::None);
     assert_eq!(out, [DECLINED]);
 }
 
--- a/valetrack/src/gate/tests/steps.rs
+++ b/valetrack/src/gate/tests/steps.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 
 use crate::gate::{
-    AttemptId, BounceReason, CancelResult, ColdRule, Gate, GateAction, GateConfig, GateEvent, Objective, Patience,
+    AttemptId, BounceReason, CancelResult, ColdRule, Gate, GateAction, GateConfig, GateEvent, Objective, QueueTimeout,
     RESULT_RETENTION_US,
 };
 
@@ -20,7 +20,7 @@
     AttemptId { entry: 9, seq }
 }
 
-fn arrive(seq: u64, patience: Patience) -> GateEvent {
+fn arrive(seq: u64, patience: QueueTimeout) -> GateEvent {
     GateEvent::Arrive { attempt: attempt(seq), deadline_us: 1_000_000, patience, priority: 0, objective: None }
 }
 
@@ -36,7 +36,7 @@
     let mut actions = Vec::new();
     let objective = Objective { left_us: 400_000, work_us: 20_000, elsewhere_permille: 0, wait_max_us: 1_000_000 };
     for number in [1, 2] {
-        let (deadline_us, patience, objective) = (500_000, Patience::Last, Some(objective));
+        let (deadline_us, patience, objective) = (500_000, QueueTimeout::Last, Some(objective));
         let arrive = GateEvent::Arrive { attempt: attempt(number), deadline_us, patience, priority: 1, objective };
         gate.handle(arrive, 0, &mut actions);
     }
@@ -49,7 +49,7 @@
 fn cancel_reports_rejection_by_upstream() {
     let mut gate = Gate::new(GateConfig::default(), 0);
     let mut actions = Vec::new();
-    let (deadline_us, patience) = (1_000_000, Patience::Long);
+    let (deadline_us, patience) = (1_000_000, QueueTimeout::Long);
     let arrive = GateEvent::Arrive { attempt: attempt(1), deadline_us, patience, priority: 0, objective: None };
     gate.handle(arrive, 0, &mut actions);
     gate.handle(GateEvent::Refused { attempt: attempt(1), reason: BounceReason::Rejected }, 1_000, &mut actions);
@@ -63,16 +63,16 @@
     let mut gate = Gate::new(CONFIG, 0);
     let actions = process(&mut gate, GateEvent::Cancel { attempt: attempt(1) }, 0);
     assert_eq!(actions, [GateAction::ReportCancel { attempt: attempt(1), result: CancelResult::NeverStarted }]);
-    let late = process(&mut gate, arrive(1, Patience::Long), RESULT_RETENTION_US - 1);
+    let late = process(&mut gate, arrive(1, QueueTimeout::Long), RESULT_RETENTION_US - 1);
     assert_eq!(late, [GateAction::Bounce { attempt: attempt(1), reason: BounceReason::Cancelled }]);
 }
 
-#[test_case(Patience::Short, 2_000; "short timeout, one service time")]
-#[test_case(Patience::Last, 1_000_000; "last timeout, up to the deadline")]
-fn waiting_attempt_is_declined_at_its_timeout(patience: Patience, at_us: u64) {
+#[test_case(QueueTimeout::Short, 2_000; "short timeout, one service time")]
+#[test_case(QueueTimeout::Last, 1_000_000; "last timeout, up to the deadline")]
+fn waiting_attempt_is_declined_at_its_timeout(patience: QueueTimeout, at_us: u64) {
     let mut gate = Gate::new(GateConfig { slots: 4, ..CONFIG }, 0);
     for seq in 0..4 {
-        process(&mut gate, arrive(seq, Patience::Last), 0);
+        process(&mut gate, arrive(seq, QueueTimeout::Last), 0);
     }
     assert_eq!(process(&mut gate, arrive(4, patience), 0), []);
     assert!(gate.next_tick_us(0).is_some_and(|next_us| next_us <= at_us));
@@ -84,11 +84,11 @@
 #[test]
 fn call_that_cannot_meet_deadline_is_declined_before_waiting() {
     let mut gate = Gate::new(CONFIG, 0);
-    process(&mut gate, arrive(1, Patience::Long), 0);
+    process(&mut gate, arrive(1, QueueTimeout::Long), 0);
     let urgent = GateEvent::Arrive {
         attempt: attempt(2),
         deadline_us: 500,
-        patience: Patience::Long,
+        patience: QueueTimeout::Long,
         priority: 0,
         objective: None,
     };
@@ -96,17 +96,17 @@
     assert_eq!(declined, [GateAction::Bounce { attempt: attempt(2), reason: BounceReason::Full }]);
 }
 
-#[test_case(Patience::Long, Some(BounceReason::Stalled); "an attempt that may go elsewhere is declined")]
-#[test_case(Patience::Last, None; "an attempt without another server stays")]
-fn stall_declines_waiting_attempts(patience: Patience, expected: Option<BounceReason>) {
+#[test_case(QueueTimeout::Long, Some(BounceReason::Stalled); "an attempt that may go elsewhere is declined")]
+#[test_case(QueueTimeout::Last, None; "an attempt without another server stays")]
+fn stall_declines_waiting_attempts(patience: QueueTimeout, expected: Option<BounceReason>) {
     let config = GateConfig { slots: 4, queue_max_us: 500_000, ..CONFIG };
     let mut gate = Gate::new(config, 0);
     for seq in 0..40 {
-        process(&mut gate, arrive(100 + seq, Patience::Long), seq * 1_000);
+        process(&mut gate, arrive(100 + seq, QueueTimeout::Long), seq * 1_000);
         process(&mut gate, GateEvent::Done { attempt: attempt(100 + seq), healthy: true }, seq * 1_000 + 1_000);
     }
     for seq in 0..4 {
-        process(&mut gate, arrive(seq, Patience::Long), 40_000);
+        process(&mut gate, arrive(seq, QueueTimeout::Long), 40_000);
     }
     assert_eq!(process(&mut gate, arrive(4, patience), 40_100), []);
     let actions = process(&mut gate, GateEvent::Tick, 60_000);
@@ -121,14 +121,14 @@
 #[test]
 fn drain_declines_waiting_and_finishes_running_attempts() {
     let mut gate = Gate::new(CONFIG, 0);
-    process(&mut gate, arrive(1, Patience::Short), 0);
-    process(&mut gate, arrive(2, Patience::Long), 0);
+    process(&mut gate, arrive(1, QueueTimeout::Short), 0);
+    process(&mut gate, arrive(2, QueueTimeout::Long), 0);
     let actions = process(&mut gate, GateEvent::Drain, 100);
     assert_eq!(actions, [GateAction::Bounce { attempt: attempt(2), reason: BounceReason::Leaving }]);
     assert!(!gate.idle());
     process(&mut gate, GateEvent::Done { attempt: attempt(1), healthy: true }, 200);
     assert!(gate.idle());
-    let declined = process(&mut gate, arrive(3, Patience::Short), 300);
+    let declined = process(&mut gate, arrive(3, QueueTimeout::Short), 300);
     assert_eq!(declined, [GateAction::Bounce { attempt: attempt(3), reason: BounceReason::Leaving }]);
 }
 
@@ -144,7 +144,7 @@
     let mut gate = Gate::new(CONFIG, 0);
     let before_us = gate.load(0).service_us;
     for seq in 0..20 {
-        process(&mut gate, arrive(seq, Patience::Long), seq * 100);
+        process(&mut gate, arrive(seq, QueueTimeout::Long), seq * 100);
         process(&mut gate, GateEvent::Done { attempt: attempt(seq), healthy: false }, seq * 100 + 10);
     }
     assert!(gate.load(3_000).service_us > before_us);
@@ -154,9 +154,9 @@
 fn a_long_run_does_not_close_free_slots() {
     let config = GateConfig { slots: 12, rescue: false, ..CONFIG };
     let mut gate = Gate::new(config, 0);
-    process(&mut gate, arrive(1, Patience::Short), 0);
+    process(&mut gate, arrive(1, QueueTimeout::Short), 0);
     // Well past the time at which eight runs of the initial estimate should have ended.
-    let started = process(&mut gate, arrive(2, Patience::Short), 500_000);
+    let started = process(&mut gate, arrive(2, QueueTimeout::Short), 500_000);
     assert_eq!(started, [GateAction::Start { attempt: attempt(2) }]);
 }
 
@@ -166,7 +166,7 @@
     GateEvent::Arrive {
         attempt: attempt(seq),
         deadline_us: 400_000,
-        patience: Patience::Long,
+        patience: QueueTimeout::Long,
         priority: 0,
         objective: Some(objective),
     }
@@ -178,10 +178,10 @@
     let mut gate = Gate::new(GateConfig { rescue: false, ..CONFIG }, 0);
     // The server's runs took 30 ms on average.
     for seq in 100..200 {
-        process(&mut gate, arrive(seq, Patience::Last), 0);
+        process(&mut gate, arrive(seq, QueueTimeout::Last), 0);
         process(&mut gate, GateEvent::Done { attempt: attempt(seq), healthy: true }, 30_000);
     }
-    process(&mut gate, arrive(0, Patience::Last), 0);
+    process(&mut gate, arrive(0, QueueTimeout::Last), 0);
     for seq in 1..4 {
         process(&mut gate, arrive_with_work(seq, ahead_us), 0);
     }
@@ -191,7 +191,7 @@
 #[test]
 fn run_without_spare_time_is_not_started() {
     let mut gate = Gate::new(GateConfig { rescue: false, ..CONFIG }, 0);
-    process(&mut gate, arrive(0, Patience::Last), 0);
+    process(&mut gate, arrive(0, QueueTimeout::Last), 0);
     // Its run of 40 ms must end by 400 ms. On a busy machine, the run ahead of it ends too late for that.
     process(&mut gate, arrive_with_work(1, 40_000), 0);
     let ended = process(&mut gate, GateEvent::Done { attempt: attempt(0), healthy: true }, 359_000);
--- a/valetrack/src/gate/tests/suspect.rs
+++ b/valetrack/src/gate/tests/suspect.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use crate::gate::{AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, Patience};
+use crate::gate::{AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 fn attempt(seq: u64) -> AttemptId {
     AttemptId { entry: 9, seq }
@@ -13,7 +13,7 @@
 }
 
 /// Sends a call to a gate, as a suspect or not; returns the actions of the gate.
-fn arrive(gate: &mut Gate, seq: u64, suspect: bool, patience: Patience) -> Vec<GateAction> {
+fn arrive(gate: &mut Gate, seq: u64, suspect: bool, patience: QueueTimeout) -> Vec<GateAction> {
     if suspect {
         gate.suspect(attempt(seq));
     }
@@ -35,10 +35,10 @@
 #[test]
 fn suspect_runs_beside_other_calls_but_not_another_suspect() {
     let mut gate = gate();
-    assert_eq!(arrive(&mut gate, 1, true, Patience::Long), [start(1)]);
-    assert_eq!(arrive(&mut gate, 2, false, Patience::Long), [start(2)]);
-    assert_eq!(arrive(&mut gate, 3, true, Patience::Long), []);
-    assert_eq!(arrive(&mut gate, 4, false, Patience::Long), [start(4)], "other calls overtake it");
+    assert_eq!(arrive(&mut gate, 1, true, QueueTimeout::Long), [start(1)]);
+    assert_eq!(arrive(&mut gate, 2, false, QueueTimeout::Long), [start(2)]);
+    assert_eq!(arrive(&mut gate, 3, true, QueueTimeout::Long), []);
+    assert_eq!(arrive(&mut gate, 4, false, QueueTimeout::Long), [start(4)], "other calls overtake it");
     let ended = process(&mut gate, GateEvent::Done { attempt: attempt(1), healthy: true }, 10);
     assert_eq!(ended, [start(3)]);
 }
@@ -46,16 +46,16 @@
 #[test]
 fn suspect_hedge_is_declined_while_another_suspect_runs() {
     let mut gate = gate();
-    arrive(&mut gate, 1, true, Patience::Long);
-    let actions = arrive(&mut gate, 2, true, Patience::None);
+    arrive(&mut gate, 1, true, QueueTimeout::Long);
+    let actions = arrive(&mut gate, 2, true, QueueTimeout::None);
     assert_eq!(actions, [GateAction::Bounce { attempt: attempt(2), reason: BounceReason::Slow }]);
 }
 
 #[test]
 fn rejected_suspect_lets_next_suspect_start() {
     let mut gate = gate();
-    arrive(&mut gate, 1, true, Patience::Long);
-    arrive(&mut gate, 2, true, Patience::Long);
+    arrive(&mut gate, 1, true, QueueTimeout::Long);
+    arrive(&mut gate, 2, true, QueueTimeout::Long);
     let actions = process(&mut gate, GateEvent::Refused { attempt: attempt(1), reason: BounceReason::Rejected }, 5);
     assert!(actions.contains(&start(2)), "{actions:?}");
 }
@@ -92,7 +92,7 @@
                 _ => {
                     open += 1;
                     suspects.extend(suspect.then_some(seq));
-                    arrive(&mut gate, seq, suspect, Patience::Last)
+                    arrive(&mut gate, seq, suspect, QueueTimeout::Last)
                 }
             };
             for action in actions {
--- a/valetrack/src/gate/tests/suspension.rs
+++ b/valetrack/src/gate/tests/suspension.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use crate::gate::{AttemptId, BounceReason, CancelResult, Gate, GateAction, GateConfig, GateEvent, Patience};
+use crate::gate::{AttemptId, BounceReason, CancelResult, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 /// Slots of the server.
 const SLOTS: u16 = 2;
@@ -54,7 +54,7 @@
             let event = match step {
                 Step::Arrive => {
                     states.insert(attempt(number), AttemptState::Waits);
-                    let (deadline_us, patience) = (now_us + 90_000_000, Patience::Last);
+                    let (deadline_us, patience) = (now_us + 90_000_000, QueueTimeout::Last);
                     GateEvent::Arrive { attempt: attempt(number), deadline_us, patience, priority: 0, objective: None }
                 }
                 Step::End(seq) => GateEvent::Done { attempt: attempt(seq), healthy: true },
--- a/valetrack/src/link/message.rs
+++ b/valetrack/src/link/message.rs
@@ -10,7 +10,7 @@
 
 use crate::claim::ClaimReport;
 use crate::crash::CrashReport;
-use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport, Patience};
+use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport, QueueTimeout};
 use crate::member::{Evacuation, Member};
 use crate::placement::Outcome;
 use crate::rollout::RouteRuns;
@@ -66,7 +66,7 @@
     /// Probability that the run is a repeat, in thousandths: a second attempt, or a call made by a repeated run.
     pub repeat_permille: u16,
     /// Queue timeout at the owner.
-    pub patience: Patience,
+    pub patience: QueueTimeout,
     /// Idempotency key of the caller.
     pub key: Option<Arc<str>>,
     /// Timestamp of the sender's hybrid clock.
--- a/valetrack/src/link/tests.rs
+++ b/valetrack/src/link/tests.rs
@@ -11,7 +11,7 @@
 use super::message::{Answered, Ask, CallHead, HEAD_MAX_BYTES, Reply, ReplyHead, Riding};
 use super::peer::LinkResult;
 use super::{run, tls};
-use crate::gate::{AttemptId, CancelResult, LoadReport, Patience};
+use crate::gate::{AttemptId, CancelResult, LoadReport, QueueTimeout};
 use crate::member::{Member, Phase};
 use crate::store::{Era, Position};
 
@@ -36,7 +36,7 @@
         depth: 1,
         made_by_run: false,
         repeat_permille: 0,
-        patience: Patience::Short,
+        patience: QueueTimeout::Short,
         key: key.map(Arc::from),
         hlc: 9,
     })
--- a/valetrack/src/placement/call.rs
+++ b/valetrack/src/placement/call.rs
@@ -12,7 +12,7 @@
 use super::set::ServerSet;
 use super::view::ServiceView;
 use crate::code::Code;
-use crate::gate::{AttemptId, PERMILLE, Patience};
+use crate::gate::{AttemptId, PERMILLE, QueueTimeout};
 
 /// Capacity for the attempts of one call; a call makes fewer.
 const MAX_ATTEMPTS: usize = 12;
@@ -135,7 +135,7 @@
 struct Attempt {
     id: AttemptId,
     server: ServerIndex,
-    patience: Patience,
+    patience: QueueTimeout,
     state: AttemptState,
 }
 
@@ -307,7 +307,7 @@
             return;
         }
         self.hedged = true;
-        self.send(server, Patience::None, SendCause::Hedge, cx, out);
+        self.send(server, QueueTimeout::None, SendCause::Hedge, cx, out);
     }
 
     fn deadline(&mut self, cx: &mut CallContext<'_>, out: &mut Vec<CallAction>) {
@@ -392,8 +392,8 @@
         self.attempts[at].map_or(0, |attempt| attempt.server)
     }
 
-    fn patience(&self, at: usize) -> Patience {
-        self.attempts[at].map_or(Patience::Long, |attempt| attempt.patience)
+    fn patience(&self, at: usize) -> QueueTimeout {
+        self.attempts[at].map_or(QueueTimeout::Long, |attempt| attempt.patience)
     }
 
     fn state(&self, at: usize) -> AttemptState {
--- a/valetrack/src/placement/call/choice.rs
+++ b/valetrack/src/placement/call/choice.rs
@@ -1,7 +1,7 @@
 //! Server and queue timeout of a call's next attempt.
 
 use super::{Attempt, AttemptState, Call, CallContext, MAX_ATTEMPTS};
-use crate::gate::{AttemptId, PERMILLE, Patience};
+use crate::gate::{AttemptId, PERMILLE, QueueTimeout};
 use crate::placement::message::{CallAction, Demand, Dispatch, SendCause, ServerIndex};
 use crate::placement::set::ServerSet;
 use crate::placement::view::FULL_REPORT_VALID_US;
@@ -45,13 +45,13 @@
         let Some(server) = self.pick(self.rollout_excluded, cx) else {
             return false;
         };
-        self.send(server, Patience::Last, cause, cx, out);
+        self.send(server, QueueTimeout::Last, cause, cx, out);
         true
     }
 
     /// Returns the queue timeout of an attempt at a server: short only if another server appears to have room and the
     /// allowance of declines lets the call go there.
-    fn queue_timeout_for(&self, server: ServerIndex, cx: &CallContext<'_>) -> Patience {
+    fn queue_timeout_for(&self, server: ServerIndex, cx: &CallContext<'_>) -> QueueTimeout {
         let mut tried = self.excluded;
         tried.insert(server);
         // A queue changes about as fast as the calls in it run.
@@ -59,9 +59,9 @@
             self.rule.demand.map_or(FULL_REPORT_VALID_US, |demand| u64::from(demand.work_us).max(FULL_REPORT_VALID_US));
         let another_has_room = self.declines_left > 0 && cx.view.has_room(tried, fresh_us, cx.now_us);
         match () {
-            () if another_has_room => Patience::Short,
-            () if self.declined_by_stall => Patience::Last,
-            () => Patience::Long,
+            () if another_has_room => QueueTimeout::Short,
+            () if self.declined_by_stall => QueueTimeout::Last,
+            () => QueueTimeout::Long,
         }
     }
 
@@ -86,8 +86,8 @@
     }
 
     /// Returns the utility of the call at the best server that was not tried; zero if the call is to stay at `server`.
-    fn elsewhere_permille(&self, server: ServerIndex, patience: Patience, cx: &CallContext<'_>) -> u16 {
-        if patience != Patience::Short || self.slow_declines_left == 0 {
+    fn elsewhere_permille(&self, server: ServerIndex, patience: QueueTimeout, cx: &CallContext<'_>) -> u16 {
+        if patience != QueueTimeout::Short || self.slow_declines_left == 0 {
             return 0;
         }
         let mut tried = self.excluded;
@@ -125,7 +125,7 @@
     pub(super) fn send(
         &mut self,
         server: ServerIndex,
-        patience: Patience,
+        patience: QueueTimeout,
         cause: SendCause,
         cx: &mut CallContext<'_>,
         out: &mut Vec<CallAction>,
@@ -134,7 +134,7 @@
         *cx.next_seq += 1;
         let elsewhere_permille = self.elsewhere_permille(server, patience, cx);
         cx.view.count_sent(server);
-        self.last_resort |= patience == Patience::Last;
+        self.last_resort |= patience == QueueTimeout::Last;
         self.repeat_charged |= cause.is_charged();
         self.attempts[self.count] = Some(Attempt { id, server, patience, state: AttemptState::Sent });
         self.count += 1;
--- a/valetrack/src/placement/call/end.rs
+++ b/valetrack/src/placement/call/end.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptState, Call, CallContext};
 use crate::code::Code;
-use crate::gate::{AttemptId, BounceReason, CancelResult, Patience};
+use crate::gate::{AttemptId, BounceReason, CancelResult, QueueTimeout};
 use crate::placement::message::{CallAction, SendCause, ServerIndex, Verdict};
 
 impl Call {
@@ -49,11 +49,11 @@
             self.settle(cx, out);
             return;
         }
-        if self.patience(at) == Patience::None && self.outstanding() > 0 {
+        if self.patience(at) == QueueTimeout::None && self.outstanding() > 0 {
             // A hedge that found no free slot is no loss; the first attempt continues.
             return;
         }
-        if matches!(self.patience(at), Patience::Long | Patience::Last) && reason == BounceReason::Full {
+        if matches!(self.patience(at), QueueTimeout::Long | QueueTimeout::Last) && reason == BounceReason::Full {
             // The attempt was the last resort, so no server has room.
             self.settle(cx, out);
             return;
--- a/valetrack/src/placement/message.rs
+++ b/valetrack/src/placement/message.rs
@@ -4,7 +4,7 @@
 use tokio::sync::oneshot;
 
 use crate::code::Code;
-use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport, Patience};
+use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport, QueueTimeout};
 use crate::link::message::{AnswerHead, CallHead};
 
 /// Index of a server in the view of its service; stable as long as the view keeps the server.
@@ -128,7 +128,7 @@
     /// The server.
     pub server: ServerIndex,
     /// Queue timeout at the server.
-    pub patience: Patience,
+    pub patience: QueueTimeout,
     /// Utility of the call at the best other server that it may be sent to, as a share of the utility of a timely
     /// answer; zero if there is none.
     pub elsewhere_permille: u16,
