--- a/standin/src/overload/world.rs
+++ b/standin/src/overload/world.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use valetrack::gate::{AttemptId, BounceReason, ColdRule, Gate, GateConfig, GateEvent, LoadReport};
+use valetrack::gate::{AttemptId, ColdRule, DeclineReason, Gate, GateConfig, GateEvent, LoadReport};
 use valetrack::member::Candidate;
 use valetrack::placement::{
     Budgets, Call, CallEvent, Dispatch, Policy, RetryGuarantee, ServiceView, WorkEstimate, considered,
@@ -264,7 +264,7 @@
             }
             Event::Warm { .. } => {}
             Event::Refused { vm, attempt } => {
-                self.gate_event(vm, GateEvent::Refused { attempt, reason: BounceReason::Refused });
+                self.gate_event(vm, GateEvent::Refused { attempt, reason: DeclineReason::Refused });
             }
             Event::Restart { vm } => self.restart(vm),
         }
--- a/valetrack/src/claim/run.rs
+++ b/valetrack/src/claim/run.rs
@@ -25,7 +25,7 @@
 use crate::bundle::{ClaimMode, InForce};
 use crate::clock::{SuspensionWatch, now_us, suspended_us, wall_us};
 use crate::code::Code;
-use crate::gate::{AttemptId, BounceReason};
+use crate::gate::{AttemptId, DeclineReason};
 use crate::link::message::{AnswerHead, CallHead, Reply};
 use crate::member::{Members, Phase};
 use crate::metric::Metrics;
@@ -292,7 +292,7 @@
         let ClaimJob { head, body, reply } = job;
         let attempt = head.attempt;
         let Some(key) = head.key.clone().filter(|_| head.service == self.parts.service) else {
-            let _ = reply.send((Reply::Bounce { attempt, reason: BounceReason::Refused }, Bytes::new()));
+            let _ = reply.send((Reply::Bounce { attempt, reason: DeclineReason::Refused }, Bytes::new()));
             return;
         };
         let key = digest(&head.service, &key);
--- a/valetrack/src/gate/message.rs
+++ b/valetrack/src/gate/message.rs
@@ -65,7 +65,7 @@
 
 /// Reason for which an owner declined an attempt without running it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BounceReason {
+pub enum DeclineReason {
     /// No slot would be free in time.
     Full,
     /// The server is leaving.
@@ -164,7 +164,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// Whether the connection was refused or the attempt rejected.
-        reason: BounceReason,
+        reason: DeclineReason,
     },
     /// The entry cancels an attempt.
     Cancel {
@@ -201,7 +201,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// Reason for declining.
-        reason: BounceReason,
+        reason: DeclineReason,
     },
     /// Report the result of a cancellation.
     ReportCancel {
--- a/valetrack/src/gate/mod.rs
+++ b/valetrack/src/gate/mod.rs
@@ -33,7 +33,7 @@
 pub use ledger::RunLedger;
 pub use limit::ConcurrencyLimit;
 pub use message::{
-    AttemptId, BounceReason, CancelResult, GateAction, GateEvent, LoadReport, Objective, PERMILLE, QueueTimeout,
+    AttemptId, CancelResult, DeclineReason, GateAction, GateEvent, LoadReport, Objective, PERMILLE, QueueTimeout,
     RunTimes,
 };
 pub use objective::objective;
--- a/valetrack/src/gate/pool.rs
+++ b/valetrack/src/gate/pool.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::message::BounceReason;
+use super::message::DeclineReason;
 use super::protocol::{Classified, Health, HostLoad, UpstreamProtocol};
 use crate::clock::Moment;
 use crate::crash::Down;
@@ -43,7 +43,7 @@
     /// The answer belongs to another attempt.
     Misdirected,
     /// The server answered that it did not run the call and never will.
-    Rejected(BounceReason),
+    Rejected(DeclineReason),
 }
 
 /// Result of a request for the speed of a server's machine.
--- a/valetrack/src/gate/protocol.rs
+++ b/valetrack/src/gate/protocol.rs
@@ -8,7 +8,7 @@
 use hyper::{HeaderMap, Request};
 
 use super::header::{ACCOUNT_HEADER, LEAVING_HEADER, REPEAT_HEADER};
-use super::message::BounceReason;
+use super::message::DeclineReason;
 use super::pool::ATTEMPT_HEADER;
 use crate::link::message::CallHead;
 
@@ -18,7 +18,7 @@
     /// The upstream ran the call, and this is its answer.
     Ran,
     /// The upstream did not run the call and never will.
-    NotStarted(BounceReason),
+    NotStarted(DeclineReason),
     /// The answer belongs to another call.
     Misdirected,
     /// The answer cannot be forwarded as it is; the call may have run.
--- a/valetrack/src/gate/run.rs
+++ b/valetrack/src/gate/run.rs
@@ -19,7 +19,7 @@
 
 use super::header::travelling;
 use super::ledger::{LedgerEntry, RunLedger};
-use super::message::{AttemptId, BounceReason, CancelResult, GateAction, GateEvent, LoadReport, PERMILLE, RunTimes};
+use super::message::{AttemptId, CancelResult, DeclineReason, GateAction, GateEvent, LoadReport, PERMILLE, RunTimes};
 use super::objective::objective;
 use super::origin::OriginTracker;
 use super::pool::{ServerAnswer, ServerError, ServerPool};
@@ -45,7 +45,7 @@
     /// The server's answer, or a numbered failure after the start.
     Answer(AnswerHead, Bytes),
     /// The attempt was declined: it did not start and never will.
-    Bounce(BounceReason),
+    Bounce(DeclineReason),
 }
 
 /// Cancels a queued attempt when its caller stops waiting.
@@ -195,17 +195,17 @@
         let deadline_us = steady_us() + u64::from(head.deadline_ms) * 1000;
         let (reply, answered) = oneshot::channel();
         if self.jobs.borrow().contains_key(&attempt) {
-            return GateReply::Bounce(BounceReason::Cancelled);
+            return GateReply::Bounce(DeclineReason::Cancelled);
         }
         if self.upstream.borrow().phase == UpstreamPhase::Unknown {
-            return GateReply::Bounce(BounceReason::NotReady);
+            return GateReply::Bounce(DeclineReason::NotReady);
         }
         if f64::from(head.repeat_permille) >= PERMILLE && !self.ledger.admits_repeat() {
-            return GateReply::Bounce(self.log_decline(&head, BounceReason::RepeatRefused));
+            return GateReply::Bounce(self.log_decline(&head, DeclineReason::RepeatRefused));
         }
         let admission = self.crashes.admit(&head, &body).await;
         if admission == Admission::Refused {
-            return GateReply::Bounce(self.log_decline(&head, BounceReason::Quarantined));
+            return GateReply::Bounce(self.log_decline(&head, DeclineReason::Quarantined));
         }
         let observed_nested = self.origins.borrow_mut().record_and_classify(&head.route, &head.origin);
         // An owner that has just started relies on the classification that other owners reported to the entry.
@@ -223,11 +223,11 @@
         self.handle(GateEvent::Arrive { attempt, deadline_us, patience, priority, objective });
         let reply = answered.await;
         cancel_guard.attempt = None;
-        reply.unwrap_or(GateReply::Bounce(BounceReason::Cancelled))
+        reply.unwrap_or(GateReply::Bounce(DeclineReason::Cancelled))
     }
 
     /// Logs and counts an attempt that is declined before it waits for a slot.
-    fn log_decline(&self, head: &CallHead, reason: BounceReason) -> BounceReason {
+    fn log_decline(&self, head: &CallHead, reason: DeclineReason) -> DeclineReason {
         self.metrics.bounces.with_label_values(&[decline_label(reason)]).inc();
         log::info!("event=gate.bounce call={} attempt={} reason={reason:?}", head.call_id, head.attempt);
         reason
@@ -282,7 +282,7 @@
         }
     }
 
-    fn decline(&self, attempt: AttemptId, reason: BounceReason) {
+    fn decline(&self, attempt: AttemptId, reason: DeclineReason) {
         let Some(job) = self.jobs.borrow_mut().remove(&attempt) else {
             return;
         };
@@ -309,7 +309,7 @@
     }
 
     /// Declines a started attempt that the server certainly did not run.
-    fn decline_started(self: &Rc<Self>, job: Job, reason: BounceReason) {
+    fn decline_started(self: &Rc<Self>, job: Job, reason: DeclineReason) {
         let attempt = job.call.head.attempt;
         log::info!("event=gate.not_started call={} attempt={attempt} reason={reason:?}", job.call.head.call_id);
         self.jobs.borrow_mut().insert(attempt, job);
@@ -321,10 +321,10 @@
     /// # Errors
     ///
     /// Returns the reason for declining the attempt if the server certainly did not run it.
-    fn outcome(&self, result: ExchangeResult) -> Result<(Option<Code>, Option<ServerAnswer>), BounceReason> {
+    fn outcome(&self, result: ExchangeResult) -> Result<(Option<Code>, Option<ServerAnswer>), DeclineReason> {
         Ok(match result {
             Ok(Ok(answer)) => (None, Some(answer)),
-            Ok(Err(ServerError::NotStarted)) => return Err(BounceReason::Refused),
+            Ok(Err(ServerError::NotStarted)) => return Err(DeclineReason::Refused),
             Ok(Err(ServerError::Rejected(reason))) => return Err(reason),
             Ok(Err(ServerError::Broken)) => (Some(Code::ServerFailed), None),
             Ok(Err(ServerError::TooLarge)) => (Some(Code::AnswerTooLarge), None),
@@ -353,7 +353,7 @@
         let attempt = head.attempt;
         log::debug!("event=gate.start call={} attempt={attempt}", head.call_id);
         if self.crashes.forbids(job.admission, &call) {
-            self.decline_started(job, BounceReason::Quarantined);
+            self.decline_started(job, DeclineReason::Quarantined);
             return;
         }
         let _ledger_entry = LedgerEntry::new(self.ledger.clone(), head.repeat_permille);
@@ -362,7 +362,7 @@
         let left_us = job.deadline_us.saturating_sub(start_us);
         let id = self.upstream.borrow().id.clone();
         let Some(request) = self.pool.protocol().request(head, call.body.clone(), left_us / 1000, id.as_deref()) else {
-            self.decline_started(job, BounceReason::Refused);
+            self.decline_started(job, DeclineReason::Refused);
             return;
         };
         let exchange = self.begin_exchange(call.clone());
@@ -431,19 +431,19 @@
     );
 }
 
-const fn decline_label(reason: BounceReason) -> &'static str {
+const fn decline_label(reason: DeclineReason) -> &'static str {
     match reason {
-        BounceReason::Full => "full",
-        BounceReason::Leaving => "leaving",
-        BounceReason::Stalled => "stalled",
-        BounceReason::Cancelled => "cancelled",
-        BounceReason::Slow => "slow",
-        BounceReason::Refused => "refused",
-        BounceReason::NotReady => "not-ready",
-        BounceReason::Rejected => "rejected",
-        BounceReason::Evacuated => "evacuated",
-        BounceReason::RepeatRefused => "repeat-refused",
-        BounceReason::Quarantined => "quarantined",
+        DeclineReason::Full => "full",
+        DeclineReason::Leaving => "leaving",
+        DeclineReason::Stalled => "stalled",
+        DeclineReason::Cancelled => "cancelled",
+        DeclineReason::Slow => "slow",
+        DeclineReason::Refused => "refused",
+        DeclineReason::NotReady => "not-ready",
+        DeclineReason::Rejected => "rejected",
+        DeclineReason::Evacuated => "evacuated",
+        DeclineReason::RepeatRefused => "repeat-refused",
+        DeclineReason::Quarantined => "quarantined",
     }
 }
 
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -9,7 +9,7 @@
 use super::cold::{ColdBound, ColdRule};
 use super::limit::ConcurrencyLimit;
 use super::message::{
-    AttemptId, BounceReason, CancelResult, GateAction, GateEvent, LoadReport, Objective, QueueTimeout, RunTimes,
+    AttemptId, CancelResult, DeclineReason, GateAction, GateEvent, LoadReport, Objective, QueueTimeout, RunTimes,
 };
 use super::outage::Outage;
 use super::pace::fading;
@@ -324,7 +324,7 @@
             GateEvent::Open => self.open(now_us),
             // Deadlines kept running during the suspension, and the entries have abandoned these attempts. Running
             // attempts were paused with the server and end normally.
-            GateEvent::Resumed => self.decline_all(BounceReason::NotReady, now_us, out),
+            GateEvent::Resumed => self.decline_all(DeclineReason::NotReady, now_us, out),
         }
         self.leave_queue(now_us, out);
         self.start_waiting(now_us, out);
@@ -366,14 +366,14 @@
         self.service_us = (self.service_us + off_us / SMOOTHING).max(1);
     }
 
-    fn refused(&mut self, attempt: AttemptId, reason: BounceReason, now_us: u64, out: &mut Vec<GateAction>) {
+    fn refused(&mut self, attempt: AttemptId, reason: DeclineReason, now_us: u64, out: &mut Vec<GateAction>) {
         if self.running.remove(&attempt).is_none() {
             return;
         }
         self.progress.record_end(self.running.len(), now_us);
         self.decline(attempt, reason, now_us, out);
-        if reason == BounceReason::Refused && self.outage.record_refusal(now_us) {
-            self.decline_all(BounceReason::NotReady, now_us, out);
+        if reason == DeclineReason::Refused && self.outage.record_refusal(now_us) {
+            self.decline_all(DeclineReason::NotReady, now_us, out);
         }
     }
 
@@ -388,7 +388,7 @@
         }
         if let Some(at) = self.waiting.iter().position(|waiting| waiting.attempt == attempt) {
             self.waiting.remove(at);
-            out.push(GateAction::Bounce { attempt, reason: BounceReason::Cancelled });
+            out.push(GateAction::Bounce { attempt, reason: DeclineReason::Cancelled });
         }
         self.store_result(attempt, CancelResult::NeverStarted, now_us);
         out.push(GateAction::ReportCancel { attempt, result: CancelResult::NeverStarted });
@@ -408,12 +408,12 @@
 
     fn drain(&mut self, now_us: u64, out: &mut Vec<GateAction>) {
         self.leaving = true;
-        self.decline_all(BounceReason::Leaving, now_us, out);
+        self.decline_all(DeclineReason::Leaving, now_us, out);
     }
 
     fn evacuate(&mut self, now_us: u64, out: &mut Vec<GateAction>) {
         self.evacuated = true;
-        self.decline_all(BounceReason::Evacuated, now_us, out);
+        self.decline_all(DeclineReason::Evacuated, now_us, out);
     }
 
     fn return_to_service(&mut self, cold_until_us: u64) {
@@ -423,7 +423,7 @@
     }
 
     /// Declines all waiting attempts.
-    fn decline_all(&mut self, reason: BounceReason, now_us: u64, out: &mut Vec<GateAction>) {
+    fn decline_all(&mut self, reason: DeclineReason, now_us: u64, out: &mut Vec<GateAction>) {
         while let Some(waiting) = self.waiting.pop_front() {
             self.decline(waiting.attempt, reason, now_us, out);
         }
@@ -441,10 +441,10 @@
         self.running.contains_key(&attempt) || self.waiting.iter().any(|waiting| waiting.attempt == attempt)
     }
 
-    fn decline(&mut self, attempt: AttemptId, reason: BounceReason, now_us: u64, out: &mut Vec<GateAction>) {
+    fn decline(&mut self, attempt: AttemptId, reason: DeclineReason, now_us: u64, out: &mut Vec<GateAction>) {
         // An entry that loses this reply with its link asks again, and must count a rejected attempt against its
         // budget.
-        let rejected = reason == BounceReason::Rejected;
+        let rejected = reason == DeclineReason::Rejected;
         let result = if rejected { CancelResult::Rejected } else { CancelResult::NeverStarted };
         self.store_result(attempt, result, now_us);
         out.push(GateAction::Bounce { attempt, reason });
--- a/valetrack/src/gate/state/queue.rs
+++ b/valetrack/src/gate/state/queue.rs
@@ -1,7 +1,7 @@
 //! The gate's queue: which attempts wait for a slot, which are declined, and which start.
 
 use super::{Gate, Running, Waiting};
-use crate::gate::message::{AttemptId, BounceReason, GateAction, GateEvent, Objective, PERMILLE, QueueTimeout};
+use crate::gate::message::{AttemptId, DeclineReason, GateAction, GateEvent, Objective, PERMILLE, QueueTimeout};
 
 /// An attempt is declined if its utility elsewhere is higher by this much, as a share of the utility of an answer in
 /// time. The transfer to another server takes time as well.
@@ -23,7 +23,7 @@
         }
         if self.results.contains_key(&attempt) {
             self.suspects.remove(&attempt);
-            out.push(GateAction::Bounce { attempt, reason: BounceReason::Cancelled });
+            out.push(GateAction::Bounce { attempt, reason: DeclineReason::Cancelled });
             return;
         }
         if let Some(reason) = self.closed_reason(now_us) {
@@ -65,11 +65,11 @@
     }
 
     /// Returns why the gate admits no attempt at all, if it is closed.
-    pub(super) fn closed_reason(&self, now_us: u64) -> Option<BounceReason> {
+    pub(super) fn closed_reason(&self, now_us: u64) -> Option<DeclineReason> {
         match () {
-            () if self.leaving => Some(BounceReason::Leaving),
-            () if self.evacuated => Some(BounceReason::Evacuated),
-            () if self.outage.is_active(now_us) => Some(BounceReason::NotReady),
+            () if self.leaving => Some(DeclineReason::Leaving),
+            () if self.evacuated => Some(DeclineReason::Evacuated),
+            () if self.outage.is_active(now_us) => Some(DeclineReason::NotReady),
             () => None,
         }
     }
@@ -80,7 +80,7 @@
     }
 
     /// Returns why an arriving attempt is declined, if it is.
-    fn decline_reason(&self, call: &Waiting, objective: Option<Objective>, now_us: u64) -> Option<BounceReason> {
+    fn decline_reason(&self, call: &Waiting, objective: Option<Objective>, now_us: u64) -> Option<DeclineReason> {
         let deferred = self.is_deferred(call, now_us);
         let beside_suspect = self.waits_for_suspect(call.attempt);
         let has_slot = self.may_start(now_us) && self.waiting.is_empty();
@@ -95,7 +95,7 @@
             QueueTimeout::Short => objective.is_some_and(|objective| self.is_too_slow_for(objective, now_us)),
             QueueTimeout::Long | QueueTimeout::Last => false,
         };
-        slow.then_some(BounceReason::Slow)
+        slow.then_some(DeclineReason::Slow)
     }
 
     /// Returns whether a call that starts now would miss its objective or has a higher utility elsewhere.
@@ -116,10 +116,10 @@
     /// A call that would end too late is declined, since it would take a slot from a call that could still be in time.
     /// Without this rule, and without counting the time that callers had waited before, a fleet of 69 VMs lost utility
     /// in a burst of 2.2 times its usual load and in a cold start.
-    fn queue_decline_reason(&self, call: &Waiting, wait_max_us: u64, now_us: u64) -> Option<BounceReason> {
+    fn queue_decline_reason(&self, call: &Waiting, wait_max_us: u64, now_us: u64) -> Option<DeclineReason> {
         let Waiting { deadline_us, patience, run_us, .. } = *call;
         if self.config.rescue && patience != QueueTimeout::Last && self.stalled(now_us) {
-            return Some(BounceReason::Stalled);
+            return Some(DeclineReason::Stalled);
         }
         let wait_us = self.slot_wait_us(call, now_us).max(self.cold_wait_us(call, now_us));
         let timeout_us = match patience {
@@ -131,7 +131,7 @@
         };
         let start_us = now_us + wait_us;
         let too_late = start_us + run_us > deadline_us || start_us > call.objective_start_by_us;
-        (wait_us > timeout_us || too_late).then_some(BounceReason::Full)
+        (wait_us > timeout_us || too_late).then_some(DeclineReason::Full)
     }
 
     /// Returns how long a call that is not deferred waits for a slot.
@@ -176,8 +176,8 @@
         while kept < self.waiting.len() {
             let waiting = self.waiting[kept];
             let reason = match () {
-                () if now_us >= waiting.leave_at_us => BounceReason::Full,
-                () if stalled && waiting.patience != QueueTimeout::Last => BounceReason::Stalled,
+                () if now_us >= waiting.leave_at_us => DeclineReason::Full,
+                () if stalled && waiting.patience != QueueTimeout::Last => DeclineReason::Stalled,
                 () => {
                     kept += 1;
                     continue;
@@ -198,7 +198,7 @@
                 return;
             };
             if now_us >= waiting.deadline_start_by_us() {
-                self.decline(waiting.attempt, BounceReason::Full, now_us, out);
+                self.decline(waiting.attempt, DeclineReason::Full, now_us, out);
                 continue;
             }
             self.progress.record_start(now_us);
--- a/valetrack/src/gate/tests/evacuation.rs
+++ b/valetrack/src/gate/tests/evacuation.rs
@@ -1,6 +1,6 @@
 //! The gate of a server whose failure domain is evacuated.
 
-use crate::gate::{AttemptId, BounceReason, ColdRule, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
+use crate::gate::{AttemptId, ColdRule, DeclineReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 fn arrival(seq: u64) -> GateEvent {
     let attempt = AttemptId { entry: 1, seq };
@@ -8,7 +8,7 @@
 }
 
 fn declined(seq: u64) -> GateAction {
-    GateAction::Bounce { attempt: AttemptId { entry: 1, seq }, reason: BounceReason::Evacuated }
+    GateAction::Bounce { attempt: AttemptId { entry: 1, seq }, reason: DeclineReason::Evacuated }
 }
 
 #[test]
--- a/valetrack/src/gate/tests/outage.rs
+++ b/valetrack/src/gate/tests/outage.rs
@@ -1,6 +1,6 @@
 //! Upstreams that refuse connections.
 
-use crate::gate::{AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
+use crate::gate::{AttemptId, DeclineReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 fn arrival(seq: u64) -> GateEvent {
     let attempt = AttemptId { entry: 1, seq };
@@ -13,10 +13,10 @@
     gate.handle(arrival(seq), now_us, &mut out);
     let attempt = AttemptId { entry: 1, seq };
     if out != [GateAction::Start { attempt }] {
-        assert_eq!(out, [GateAction::Bounce { attempt, reason: BounceReason::NotReady }]);
+        assert_eq!(out, [GateAction::Bounce { attempt, reason: DeclineReason::NotReady }]);
         return false;
     }
-    gate.handle(GateEvent::Refused { attempt, reason: BounceReason::Refused }, now_us, &mut out);
+    gate.handle(GateEvent::Refused { attempt, reason: DeclineReason::Refused }, now_us, &mut out);
     true
 }
 
--- a/valetrack/src/gate/tests/property.rs
+++ b/valetrack/src/gate/tests/property.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use crate::gate::{AttemptId, BounceReason, CancelResult, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
+use crate::gate::{AttemptId, CancelResult, DeclineReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 #[derive(Debug, Clone)]
 enum Choice {
@@ -124,7 +124,7 @@
                     let attempt = observer.running.swap_remove(at);
                     // The server accepted no connection, so the attempt counts as never started.
                     observer.started.remove(&attempt);
-                    GateEvent::Refused { attempt, reason: BounceReason::Refused }
+                    GateEvent::Refused { attempt, reason: DeclineReason::Refused }
                 }
                 Choice::Cancel { seq } => GateEvent::Cancel { attempt: attempt(seq) },
                 Choice::Tick => GateEvent::Tick,
--- a/valetrack/src/gate/tests/speed.rs
+++ b/valetrack/src/gate/tests/speed.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 
 use crate::gate::{
-    AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, KeptSpeedShare, LoadReport, Objective, Pace,
+    AttemptId, DeclineReason, Gate, GateAction, GateConfig, GateEvent, KeptSpeedShare, LoadReport, Objective, Pace,
     QueueTimeout, RunTimes, SLOWDOWN_DURATION_US, Speed, utility_at,
 };
 
@@ -175,7 +175,7 @@
 
 const ATTEMPT: AttemptId = AttemptId { entry: 1, seq: 1 };
 const STARTED: GateAction = GateAction::Start { attempt: ATTEMPT };
-const DECLINED: GateAction = GateAction::Bounce { attempt: ATTEMPT, reason: BounceReason::Slow };
+const DECLINED: GateAction = GateAction::Bounce { attempt: ATTEMPT, reason: DeclineReason::Slow };
 
 #[test_case(100, 900, STARTED; "a fast machine runs it")]
 #[test_case(240, 900, DECLINED; "a slow machine declines it if it would be in time elsewhere")]
--- a/valetrack/src/gate/tests/steps.rs
+++ b/valetrack/src/gate/tests/steps.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 
 use crate::gate::{
-    AttemptId, BounceReason, CancelResult, ColdRule, Gate, GateAction, GateConfig, GateEvent, Objective, QueueTimeout,
+    AttemptId, CancelResult, ColdRule, DeclineReason, Gate, GateAction, GateConfig, GateEvent, Objective, QueueTimeout,
     RESULT_RETENTION_US,
 };
 
@@ -42,7 +42,7 @@
     }
     actions.clear();
     gate.handle(GateEvent::Done { attempt: attempt(1), healthy: true }, 490_000, &mut actions);
-    assert_eq!(actions, [GateAction::Bounce { attempt: attempt(2), reason: BounceReason::Full }]);
+    assert_eq!(actions, [GateAction::Bounce { attempt: attempt(2), reason: DeclineReason::Full }]);
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let (deadline_us, patience) = (1_000_000, QueueTimeout::Long);
     let arrive = GateEvent::Arrive { attempt: attempt(1), deadline_us, patience, priority: 0, objective: None };
     gate.handle(arrive, 0, &mut actions);
-    gate.handle(GateEvent::Refused { attempt: attempt(1), reason: BounceReason::Rejected }, 1_000, &mut actions);
+    gate.handle(GateEvent::Refused { attempt: attempt(1), reason: DeclineReason::Rejected }, 1_000, &mut actions);
     actions.clear();
     gate.handle(GateEvent::Cancel { attempt: attempt(1) }, 2_000, &mut actions);
     assert_eq!(actions, [GateAction::ReportCancel { attempt: attempt(1), result: CancelResult::Rejected }]);
@@ -64,7 +64,7 @@
     let actions = process(&mut gate, GateEvent::Cancel { attempt: attempt(1) }, 0);
     assert_eq!(actions, [GateAction::ReportCancel { attempt: attempt(1), result: CancelResult::NeverStarted }]);
     let late = process(&mut gate, arrive(1, QueueTimeout::Long), RESULT_RETENTION_US - 1);
-    assert_eq!(late, [GateAction::Bounce { attempt: attempt(1), reason: BounceReason::Cancelled }]);
+    assert_eq!(late, [GateAction::Bounce { attempt: attempt(1), reason: DeclineReason::Cancelled }]);
 }
 
 #[test_case(QueueTimeout::Short, 2_000; "short timeout, one service time")]
@@ -78,7 +78,7 @@
     assert!(gate.next_tick_us(0).is_some_and(|next_us| next_us <= at_us));
     assert_eq!(process(&mut gate, GateEvent::Tick, at_us - 1), []);
     let declined = process(&mut gate, GateEvent::Tick, at_us);
-    assert_eq!(declined, [GateAction::Bounce { attempt: attempt(4), reason: BounceReason::Full }]);
+    assert_eq!(declined, [GateAction::Bounce { attempt: attempt(4), reason: DeclineReason::Full }]);
 }
 
 #[test]
@@ -93,12 +93,12 @@
         objective: None,
     };
     let declined = process(&mut gate, urgent, 0);
-    assert_eq!(declined, [GateAction::Bounce { attempt: attempt(2), reason: BounceReason::Full }]);
+    assert_eq!(declined, [GateAction::Bounce { attempt: attempt(2), reason: DeclineReason::Full }]);
 }
 
-#[test_case(QueueTimeout::Long, Some(BounceReason::Stalled); "an attempt that may go elsewhere is declined")]
+#[test_case(QueueTimeout::Long, Some(DeclineReason::Stalled); "an attempt that may go elsewhere is declined")]
 #[test_case(QueueTimeout::Last, None; "an attempt without another server stays")]
-fn stall_declines_waiting_attempts(patience: QueueTimeout, expected: Option<BounceReason>) {
+fn stall_declines_waiting_attempts(patience: QueueTimeout, expected: Option<DeclineReason>) {
     let config = GateConfig { slots: 4, queue_max_us: 500_000, ..CONFIG };
     let mut gate = Gate::new(config, 0);
     for seq in 0..40 {
@@ -124,12 +124,12 @@
     process(&mut gate, arrive(1, QueueTimeout::Short), 0);
     process(&mut gate, arrive(2, QueueTimeout::Long), 0);
     let actions = process(&mut gate, GateEvent::Drain, 100);
-    assert_eq!(actions, [GateAction::Bounce { attempt: attempt(2), reason: BounceReason::Leaving }]);
+    assert_eq!(actions, [GateAction::Bounce { attempt: attempt(2), reason: DeclineReason::Leaving }]);
     assert!(!gate.idle());
     process(&mut gate, GateEvent::Done { attempt: attempt(1), healthy: true }, 200);
     assert!(gate.idle());
     let declined = process(&mut gate, arrive(3, QueueTimeout::Short), 300);
-    assert_eq!(declined, [GateAction::Bounce { attempt: attempt(3), reason: BounceReason::Leaving }]);
+    assert_eq!(declined, [GateAction::Bounce { attempt: attempt(3), reason: DeclineReason::Leaving }]);
 }
 
 #[test]
@@ -173,7 +173,7 @@
 }
 
 #[test_case(1_000, &[]; "short runs ahead")]
-#[test_case(80_000, &[GateAction::Bounce { attempt: attempt(9), reason: BounceReason::Full }]; "long runs ahead")]
+#[test_case(80_000, &[GateAction::Bounce { attempt: attempt(9), reason: DeclineReason::Full }]; "long runs ahead")]
 fn expected_wait_depends_on_runs_ahead(ahead_us: u64, expected: &[GateAction]) {
     let mut gate = Gate::new(GateConfig { rescue: false, ..CONFIG }, 0);
     // The server's runs took 30 ms on average.
@@ -195,7 +195,7 @@
     // Its run of 40 ms must end by 400 ms. On a busy machine, the run ahead of it ends too late for that.
     process(&mut gate, arrive_with_work(1, 40_000), 0);
     let ended = process(&mut gate, GateEvent::Done { attempt: attempt(0), healthy: true }, 359_000);
-    assert_eq!(ended, [GateAction::Bounce { attempt: attempt(1), reason: BounceReason::Full }]);
+    assert_eq!(ended, [GateAction::Bounce { attempt: attempt(1), reason: DeclineReason::Full }]);
 }
 
 #[test]
--- a/valetrack/src/gate/tests/suspect.rs
+++ b/valetrack/src/gate/tests/suspect.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use crate::gate::{AttemptId, BounceReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
+use crate::gate::{AttemptId, DeclineReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 fn attempt(seq: u64) -> AttemptId {
     AttemptId { entry: 9, seq }
@@ -48,7 +48,7 @@
     let mut gate = gate();
     arrive(&mut gate, 1, true, QueueTimeout::Long);
     let actions = arrive(&mut gate, 2, true, QueueTimeout::None);
-    assert_eq!(actions, [GateAction::Bounce { attempt: attempt(2), reason: BounceReason::Slow }]);
+    assert_eq!(actions, [GateAction::Bounce { attempt: attempt(2), reason: DeclineReason::Slow }]);
 }
 
 #[test]
@@ -56,7 +56,7 @@
     let mut gate = gate();
     arrive(&mut gate, 1, true, QueueTimeout::Long);
     arrive(&mut gate, 2, true, QueueTimeout::Long);
-    let actions = process(&mut gate, GateEvent::Refused { attempt: attempt(1), reason: BounceReason::Rejected }, 5);
+    let actions = process(&mut gate, GateEvent::Refused { attempt: attempt(1), reason: DeclineReason::Rejected }, 5);
     assert!(actions.contains(&start(2)), "{actions:?}");
 }
 
@@ -86,7 +86,7 @@
                 }
                 (1, Some(refused)) => {
                     running.retain(|seq| *seq != refused);
-                    let reason = BounceReason::Rejected;
+                    let reason = DeclineReason::Rejected;
                     process(&mut gate, GateEvent::Refused { attempt: attempt(refused), reason }, now_us)
                 }
                 _ => {
--- a/valetrack/src/gate/tests/suspension.rs
+++ b/valetrack/src/gate/tests/suspension.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use crate::gate::{AttemptId, BounceReason, CancelResult, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
+use crate::gate::{AttemptId, CancelResult, DeclineReason, Gate, GateAction, GateConfig, GateEvent, QueueTimeout};
 
 /// Slots of the server.
 const SLOTS: u16 = 2;
@@ -78,7 +78,7 @@
                         let before = states.insert(attempt, AttemptState::Declined);
                         prop_assert_eq!(before, Some(AttemptState::Waits));
                         let resumed = matches!(event, GateEvent::Resumed);
-                        prop_assert!(!resumed || reason == BounceReason::NotReady, "{:?}", reason);
+                        prop_assert!(!resumed || reason == DeclineReason::NotReady, "{:?}", reason);
                     }
                     GateAction::ReportCancel { attempt, result } => {
                         let ran = matches!(states.get(&attempt), Some(AttemptState::Runs | AttemptState::Ended));
--- a/valetrack/src/link/message.rs
+++ b/valetrack/src/link/message.rs
@@ -10,7 +10,7 @@
 
 use crate::claim::ClaimReport;
 use crate::crash::CrashReport;
-use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport, QueueTimeout};
+use crate::gate::{AttemptId, CancelResult, DeclineReason, LoadReport, QueueTimeout};
 use crate::member::{Evacuation, Member};
 use crate::placement::Outcome;
 use crate::rollout::RouteRuns;
@@ -173,7 +173,7 @@
         /// ID of the attempt.
         attempt: AttemptId,
         /// Reason for the decline.
-        reason: BounceReason,
+        reason: DeclineReason,
     },
     /// Another node is the home of the key; the call was not started.
     Moved {
--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -25,7 +25,7 @@
 use crate::gate::pool::ServerPool;
 use crate::gate::run::{GateReply, GateShell, GateShellParts};
 use crate::gate::{
-    Announcement, BounceReason, GateConfig, Health, RunLedger, UpstreamPhase, UpstreamProtocol, UpstreamState,
+    Announcement, DeclineReason, GateConfig, Health, RunLedger, UpstreamPhase, UpstreamProtocol, UpstreamState,
 };
 use crate::jobs::next_job;
 use crate::member::{Evacuation, FollowerReply, GossipReply, Member, MemberJob, Members};
@@ -318,7 +318,7 @@
         let attempt = head.attempt;
         if head.service != self.parts.service {
             // Another service has this address now; the sender's view of the members is outdated.
-            return (Reply::Bounce { attempt, reason: BounceReason::Refused }, Bytes::new());
+            return (Reply::Bounce { attempt, reason: DeclineReason::Refused }, Bytes::new());
         }
         match self.gate.call(head, body).await {
             GateReply::Answer(answer, body) => (Reply::Answer(answer), body),
@@ -332,7 +332,7 @@
         let (reply, answered) = oneshot::channel();
         let job = ClaimJob { head, body, reply };
         if self.parts.to_claim.send(job).await.is_err() {
-            return (Reply::Bounce { attempt, reason: BounceReason::Leaving }, Bytes::new());
+            return (Reply::Bounce { attempt, reason: DeclineReason::Leaving }, Bytes::new());
         }
         answered.await.unwrap_or_else(|_| {
             let answer = AnswerHead {
--- a/valetrack/src/placement/attempt.rs
+++ b/valetrack/src/placement/attempt.rs
@@ -11,7 +11,7 @@
 use super::run::{Placer, REPLY_LIMIT_MS};
 use crate::clock::Moment;
 use crate::code::Code;
-use crate::gate::{AttemptId, BounceReason};
+use crate::gate::{AttemptId, DeclineReason};
 use crate::link::message::{AnswerHead, Answered, Ask, CallHead, Question, Reply};
 use crate::link::peer::{self, LinkResult};
 use crate::metric::Metrics;
@@ -81,7 +81,7 @@
             let event = attempt_event(attempt, result, &self.metrics);
             match &event {
                 (CallEvent::Ran { .. }, Some((answer, _))) => self.record_nested_route(&route, answer.nested),
-                (CallEvent::Declined { reason: BounceReason::Evacuated, .. }, _) => {
+                (CallEvent::Declined { reason: DeclineReason::Evacuated, .. }, _) => {
                     self.report_evacuation(&service, server);
                 }
                 _ => {}
--- a/valetrack/src/placement/call/end.rs
+++ b/valetrack/src/placement/call/end.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptState, Call, CallContext};
 use crate::code::Code;
-use crate::gate::{AttemptId, BounceReason, CancelResult, QueueTimeout};
+use crate::gate::{AttemptId, CancelResult, DeclineReason, QueueTimeout};
 use crate::placement::message::{CallAction, SendCause, ServerIndex, Verdict};
 
 impl Call {
@@ -31,7 +31,7 @@
     pub(super) fn declined(
         &mut self,
         id: AttemptId,
-        reason: BounceReason,
+        reason: DeclineReason,
         cx: &mut CallContext<'_>,
         out: &mut Vec<CallAction>,
     ) {
@@ -41,11 +41,11 @@
         let server = self.server(at);
         self.last_code = decline_code(reason);
         record_decline(server, reason, cx);
-        cx.view.record_full(reason == BounceReason::Full, cx.now_us);
+        cx.view.record_full(reason == DeclineReason::Full, cx.now_us);
         if self.finished {
             return;
         }
-        if self.past_deadline || reason == BounceReason::Cancelled {
+        if self.past_deadline || reason == DeclineReason::Cancelled {
             self.settle(cx, out);
             return;
         }
@@ -53,16 +53,16 @@
             // A hedge that found no free slot is no loss; the first attempt continues.
             return;
         }
-        if matches!(self.patience(at), QueueTimeout::Long | QueueTimeout::Last) && reason == BounceReason::Full {
+        if matches!(self.patience(at), QueueTimeout::Long | QueueTimeout::Last) && reason == DeclineReason::Full {
             // The attempt was the last resort, so no server has room.
             self.settle(cx, out);
             return;
         }
-        if reason == BounceReason::Rejected {
+        if reason == DeclineReason::Rejected {
             self.after_rejection(server, cx, out);
             return;
         }
-        if matches!(reason, BounceReason::RepeatRefused | BounceReason::Quarantined) {
+        if matches!(reason, DeclineReason::RepeatRefused | DeclineReason::Quarantined) {
             // The services that the run would call are near their budgets at any owner, or every owner has a record of
             // the call's crashes; another owner would only decline it as well.
             self.settle(cx, out);
@@ -70,15 +70,15 @@
         }
         self.charge_allowances(server, reason, cx);
         // A call that was admitted and has waited must not be declined for a full queue later.
-        self.declined_by_stall |= reason == BounceReason::Stalled;
+        self.declined_by_stall |= reason == DeclineReason::Stalled;
         // None of these reasons is a sign of load elsewhere, so they are not charged to the allowance.
         let is_uncharged = matches!(
             reason,
-            BounceReason::Leaving
-                | BounceReason::Evacuated
-                | BounceReason::Stalled
-                | BounceReason::NotReady
-                | BounceReason::Slow
+            DeclineReason::Leaving
+                | DeclineReason::Evacuated
+                | DeclineReason::Stalled
+                | DeclineReason::NotReady
+                | DeclineReason::Slow
         );
         self.try_next_server(server, is_uncharged, SendCause::Unreached, cx, out);
     }
@@ -97,11 +97,11 @@
     }
 
     /// Charges a decline to the allowances that apply only to some reasons.
-    fn charge_allowances(&mut self, server: ServerIndex, reason: BounceReason, cx: &CallContext<'_>) {
-        if reason == BounceReason::Full && cx.view.is_cross_domain(server) {
+    fn charge_allowances(&mut self, server: ServerIndex, reason: DeclineReason, cx: &CallContext<'_>) {
+        if reason == DeclineReason::Full && cx.view.is_cross_domain(server) {
             self.cross_domain_declines_left = self.cross_domain_declines_left.saturating_sub(1);
         }
-        if reason == BounceReason::Slow {
+        if reason == DeclineReason::Slow {
             self.slow_declines_left = self.slow_declines_left.saturating_sub(1);
         }
     }
@@ -226,29 +226,29 @@
 }
 
 /// Updates the view of a server by the reason of a decline.
-fn record_decline(server: ServerIndex, reason: BounceReason, cx: &mut CallContext<'_>) {
+fn record_decline(server: ServerIndex, reason: DeclineReason, cx: &mut CallContext<'_>) {
     match reason {
-        BounceReason::Leaving => cx.view.set_leaving(server),
-        BounceReason::Refused | BounceReason::Rejected => cx.view.record_health(server, false, cx.now_us),
-        BounceReason::NotReady => cx.view.suspect(server, cx.now_us),
-        BounceReason::Full
-        | BounceReason::Stalled
-        | BounceReason::Slow
-        | BounceReason::Evacuated
-        | BounceReason::Cancelled
-        | BounceReason::RepeatRefused
-        | BounceReason::Quarantined => {}
+        DeclineReason::Leaving => cx.view.set_leaving(server),
+        DeclineReason::Refused | DeclineReason::Rejected => cx.view.record_health(server, false, cx.now_us),
+        DeclineReason::NotReady => cx.view.suspect(server, cx.now_us),
+        DeclineReason::Full
+        | DeclineReason::Stalled
+        | DeclineReason::Slow
+        | DeclineReason::Evacuated
+        | DeclineReason::Cancelled
+        | DeclineReason::RepeatRefused
+        | DeclineReason::Quarantined => {}
     }
 }
 
-const fn decline_code(reason: BounceReason) -> Code {
+const fn decline_code(reason: DeclineReason) -> Code {
     match reason {
-        BounceReason::Full | BounceReason::Stalled | BounceReason::Slow | BounceReason::RepeatRefused => {
+        DeclineReason::Full | DeclineReason::Stalled | DeclineReason::Slow | DeclineReason::RepeatRefused => {
             Code::Overloaded
         }
-        BounceReason::Leaving | BounceReason::Evacuated => Code::Leaving,
-        BounceReason::Cancelled => Code::Cancelled,
-        BounceReason::Quarantined => Code::Quarantined,
-        BounceReason::Refused | BounceReason::Rejected | BounceReason::NotReady => Code::ServerRefused,
+        DeclineReason::Leaving | DeclineReason::Evacuated => Code::Leaving,
+        DeclineReason::Cancelled => Code::Cancelled,
+        DeclineReason::Quarantined => Code::Quarantined,
+        DeclineReason::Refused | DeclineReason::Rejected | DeclineReason::NotReady => Code::ServerRefused,
     }
 }
--- a/valetrack/src/placement/message.rs
+++ b/valetrack/src/placement/message.rs
@@ -4,7 +4,7 @@
 use tokio::sync::oneshot;
 
 use crate::code::Code;
-use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport, QueueTimeout};
+use crate::gate::{AttemptId, CancelResult, DeclineReason, LoadReport, QueueTimeout};
 use crate::link::message::{AnswerHead, CallHead};
 
 /// Index of a server in the view of its service; stable as long as the view keeps the server.
@@ -49,7 +49,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// Reason of the decline.
-        reason: BounceReason,
+        reason: DeclineReason,
     },
     /// The attempt started, but its answer is lost.
     Failed {
--- a/valetrack/src/placement/tests/call.rs
+++ b/valetrack/src/placement/tests/call.rs
@@ -4,7 +4,7 @@
 use test_case::test_case;
 
 use crate::code::Code;
-use crate::gate::{AttemptId, BounceReason, CancelResult, LoadReport};
+use crate::gate::{AttemptId, CancelResult, DeclineReason, LoadReport};
 use crate::placement::{
     Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Demand, Dispatch, Policy, RetryBudget, ServerIndex,
     ServiceView, Verdict,
@@ -138,7 +138,7 @@
             }
             (3, Progress::Sent) if !closed => {
                 let reason =
-                    [BounceReason::Full, BounceReason::Leaving, BounceReason::Stalled][usize::from(what / 8) % 3];
+                    [DeclineReason::Full, DeclineReason::Leaving, DeclineReason::Stalled][usize::from(what / 8) % 3];
                 (Progress::NeverStarts, Some(CallEvent::Declined { attempt, reason }))
             }
             (4, Progress::Sent) if !closed && !cancel_sent => {
@@ -241,7 +241,9 @@
     for _ in 0..=ONCE.bounces {
         let attempt = world.attempts.last().expect("an attempt").id;
         world.attempts.last_mut().expect("an attempt").progress = Progress::NeverStarts;
-        world.handle_event(CallEvent::Declined { attempt, reason: BounceReason::Full }).expect("no violated invariant");
+        world
+            .handle_event(CallEvent::Declined { attempt, reason: DeclineReason::Full })
+            .expect("no violated invariant");
     }
     assert!(matches!(world.verdict, Some(Verdict::NotRun { code: Code::Overloaded, .. })), "{:?}", world.verdict);
 }
@@ -251,7 +253,7 @@
     let mut world = single(CallRule { bounces: 0, ..ONCE });
     let attempt = world.attempts[0].id;
     world.attempts[0].progress = Progress::NeverStarts;
-    world.handle_event(CallEvent::Declined { attempt, reason: BounceReason::Leaving }).expect("no violated invariant");
+    world.handle_event(CallEvent::Declined { attempt, reason: DeclineReason::Leaving }).expect("no violated invariant");
     assert_eq!(world.attempts.len(), 2);
     assert!(world.verdict.is_none());
 }
@@ -271,7 +273,7 @@
             let attempt = world.attempts.last().expect("an attempt").id;
             world.attempts.last_mut().expect("an attempt").progress = Progress::NeverStarts;
             world
-                .handle_event(CallEvent::Declined { attempt, reason: BounceReason::Rejected })
+                .handle_event(CallEvent::Declined { attempt, reason: DeclineReason::Rejected })
                 .expect("no violated invariant");
         }
         assert!(matches!(world.verdict, Some(Verdict::NotRun { .. })), "{:?}", world.verdict);
@@ -325,7 +327,9 @@
     while world.verdict.is_none() {
         let attempt = world.attempts.last().expect("an attempt").id;
         world.attempts.last_mut().expect("an attempt").progress = Progress::NeverStarts;
-        world.handle_event(CallEvent::Declined { attempt, reason: BounceReason::Full }).expect("no violated invariant");
+        world
+            .handle_event(CallEvent::Declined { attempt, reason: DeclineReason::Full })
+            .expect("no violated invariant");
     }
     assert!(matches!(world.verdict, Some(Verdict::Unknown { code: Code::ServerFailed })), "{:?}", world.verdict);
 }
@@ -342,9 +346,9 @@
     assert_eq!(world.attempts.len(), 2);
 }
 
-#[test_case(BounceReason::Full; "no room")]
-#[test_case(BounceReason::RepeatRefused; "no repeat left")]
-fn failure_answer_is_returned_without_second_run(reason: BounceReason) {
+#[test_case(DeclineReason::Full; "no room")]
+#[test_case(DeclineReason::RepeatRefused; "no repeat left")]
+fn failure_answer_is_returned_without_second_run(reason: DeclineReason) {
     let mut world = single(CallRule { repeatable: true, bounces: 0, ..ONCE });
     let failing = world.attempts[0].id;
     world.attempts[0].progress = Progress::Started;
--- a/valetrack/src/placement/tests/fleet.rs
+++ b/valetrack/src/placement/tests/fleet.rs
@@ -17,7 +17,7 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-use crate::gate::{AttemptId, BounceReason, CancelResult};
+use crate::gate::{AttemptId, CancelResult, DeclineReason};
 use crate::placement::{
     Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Demand, Dispatch, NestedCalls, Policy, RetryGuarantee,
     ServerIndex, ServiceView,
@@ -111,8 +111,8 @@
     fn event(self) -> CallEvent {
         match self {
             Self::Answered { attempt, healthy } => CallEvent::Ran { attempt, healthy },
-            Self::Rejected { attempt } => CallEvent::Declined { attempt, reason: BounceReason::Rejected },
-            Self::RepeatRefused { attempt } => CallEvent::Declined { attempt, reason: BounceReason::RepeatRefused },
+            Self::Rejected { attempt } => CallEvent::Declined { attempt, reason: DeclineReason::Rejected },
+            Self::RepeatRefused { attempt } => CallEvent::Declined { attempt, reason: DeclineReason::RepeatRefused },
             Self::Broken { attempt } => CallEvent::Broken { attempt },
             Self::Cancelled { attempt, rejected } => {
                 let result = if rejected { CancelResult::Rejected } else { CancelResult::Started };
