--- a/valetrack/src/gate/pace.rs
+++ b/valetrack/src/gate/pace.rs
@@ -21,7 +21,7 @@
 
 /// Present speed of one server, as factors of the expected duration of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct SpeedEstimate {
     /// Factor of a run at full speed.
     pub fast: f64,
     /// Factor of a run in a slow episode.
@@ -36,7 +36,7 @@
     pub kept: f64,
 }
 
-impl Pace {
+impl SpeedEstimate {
     /// Returns the estimate from a report of age `age_us`.
     pub fn of(load: &LoadReport, age_us: u64) -> Self {
         let factor = |percent: u16| if percent == 0 { 1.0 } else { f64::from(percent) / PERCENT };
--- a/valetrack/src/gate/speed.rs
+++ b/valetrack/src/gate/speed.rs
@@ -2,7 +2,7 @@
 
 use super::kept::KeptSpeedShare;
 use super::message::{LoadReport, RunTimes};
-use super::pace::{Pace, SLOWDOWN_DURATION_US, fading};
+use super::pace::{SLOWDOWN_DURATION_US, SpeedEstimate, fading};
 
 /// Slowdown from which on a machine is in a slow episode.
 const EPISODE_FACTOR_MIN: f64 = 1.5;
@@ -283,14 +283,14 @@
     }
 
     /// Returns the estimated speed of the server at `now_us`.
-    pub fn estimate(&self, now_us: u64) -> Pace {
+    pub fn estimate(&self, now_us: u64) -> SpeedEstimate {
         let Some(slowdown) = self.reported else {
             return self.estimate_from_runs();
         };
         let weight = 0.5_f64.powf(now_us.saturating_sub(self.reported_us) as f64 / self.lasts_us);
         let is_slow = slowdown >= EPISODE_FACTOR_MIN;
         let reported_chance = f64::from(u8::from(is_slow));
-        Pace {
+        SpeedEstimate {
             fast: self.base,
             slow: self.base * if is_slow { slowdown } else { self.slow_factor },
             slow_chance: reported_chance * weight + self.slow_share * (1.0 - weight),
@@ -301,9 +301,9 @@
     }
 
     /// Returns the estimate for a server whose machine reports no speed, from its runs alone.
-    fn estimate_from_runs(&self) -> Pace {
+    fn estimate_from_runs(&self) -> SpeedEstimate {
         let usual = self.mean.max(self.base);
-        Pace {
+        SpeedEstimate {
             fast: usual,
             slow: usual,
             slow_chance: 0.0,
--- a/valetrack/src/gate/tests/speed.rs
+++ b/valetrack/src/gate/tests/speed.rs
@@ -3,13 +3,13 @@
 use test_case::test_case;
 
 use crate::gate::{
-    AttemptId, DeclineReason, Gate, GateAction, GateConfig, GateEvent, KeptSpeedShare, LoadReport, Objective, Pace,
-    QueueTimeout, RunTimes, SLOWDOWN_DURATION_US, Speed, utility_at,
+    AttemptId, DeclineReason, Gate, GateAction, GateConfig, GateEvent, KeptSpeedShare, LoadReport, Objective,
+    QueueTimeout, RunTimes, SLOWDOWN_DURATION_US, Speed, SpeedEstimate, utility_at,
 };
 
 /// Returns the estimate for a machine that is certainly slowed by `slow`, with runs of one kind only.
-fn slow_estimate(slow: f64, kept: f64) -> Pace {
-    Pace { fast: 1.0, slow, slow_chance: 1.0, slow_share: 0.0, lasts_us: SLOWDOWN_DURATION_US as f64, kept }
+fn slow_estimate(slow: f64, kept: f64) -> SpeedEstimate {
+    SpeedEstimate { fast: 1.0, slow, slow_chance: 1.0, slow_share: 0.0, lasts_us: SLOWDOWN_DURATION_US as f64, kept }
 }
 
 #[test_case(50_000, 1.0, 50_000.0; "a short run on a fast machine")]
@@ -30,7 +30,7 @@
 
 #[test]
 fn possibly_slow_machine_has_less_utility_than_average_duration() {
-    let estimate = Pace { slow_chance: 0.25, lasts_us: 1_000_000.0, ..slow_estimate(5.0, 1.0) };
+    let estimate = SpeedEstimate { slow_chance: 0.25, lasts_us: 1_000_000.0, ..slow_estimate(5.0, 1.0) };
     let average = utility_at(estimate.expected_us(220_000), 600_000.0);
     let expected = estimate.worth(220_000, 0.0, 600_000.0);
     assert!(expected < average - 0.1, "{expected} {average}");
--- a/valetrack/src/placement/view/utility.rs
+++ b/valetrack/src/placement/view/utility.rs
@@ -1,7 +1,7 @@
 //! Utility of a call at each server, and server selection for calls with an objective.
 
 use super::{ASSUMED_LIMIT, MAX_SERVERS, STALL_PENALTY_US, ServerView, ServiceView, pick_where, wait_us};
-use crate::gate::{LoadReport, Pace, fading};
+use crate::gate::{LoadReport, SpeedEstimate, fading};
 use crate::placement::message::{Demand, ServerIndex};
 use crate::placement::network_cost::network_cost;
 use crate::placement::policy::Policy;
@@ -55,7 +55,7 @@
             Some(last_report) => (last_report.load, now_us.saturating_sub(last_report.received_us)),
             None => (*assumed_report, 0),
         };
-        let speed = Pace::of(&load, age_us);
+        let speed = SpeedEstimate::of(&load, age_us);
         let weight = 0.5_f64.powf(age_us as f64 / speed.lasts_us);
         let before_us = self.before_run_us(view, &load, demand, age_us, weight);
         let timely_chance = speed.worth(demand.work_us.into(), before_us, demand.left_us as f64);
@@ -120,7 +120,7 @@
     pub fn is_slow(&self, server: ServerIndex, now_us: u64) -> bool {
         let last_report = self.servers.get(server).and_then(|view| view.last_report);
         last_report.is_some_and(|last_report| {
-            Pace::of(&last_report.load, now_us.saturating_sub(last_report.received_us)).is_slow()
+            SpeedEstimate::of(&last_report.load, now_us.saturating_sub(last_report.received_us)).is_slow()
         })
     }
 }
