--- a/valetrack/src/gate/pace.rs
+++ b/valetrack/src/gate/pace.rs
@@ -106,7 +106,7 @@
     ///
     /// The utility is computed separately for a fast and a slow machine. An average of both durations would describe a
     /// run that never occurs.
-    pub fn worth(&self, work_us: u64, wait_us: f64, left_us: f64) -> f64 {
+    pub fn expected_utility(&self, work_us: u64, wait_us: f64, left_us: f64) -> f64 {
         let work_us = work_us as f64;
         let fast = utility_at(wait_us + self.run_us(work_us, self.fast), left_us);
         let slow = utility_at(wait_us + self.slow_run_us(work_us), left_us);
--- a/valetrack/src/gate/state/queue.rs
+++ b/valetrack/src/gate/state/queue.rs
@@ -107,7 +107,7 @@
         if objective.elsewhere_permille == 0 {
             return estimate.expected_us(objective.work_us) > objective.left_us as f64;
         }
-        let here = estimate.worth(objective.work_us, 0.0, objective.left_us as f64);
+        let here = estimate.expected_utility(objective.work_us, 0.0, objective.left_us as f64);
         here + ELSEWHERE_GAIN_MIN < f64::from(objective.elsewhere_permille) / PERMILLE
     }
 
--- a/valetrack/src/gate/tests/speed.rs
+++ b/valetrack/src/gate/tests/speed.rs
@@ -32,7 +32,7 @@
 fn possibly_slow_machine_has_less_utility_than_average_duration() {
     let estimate = SpeedEstimate { slow_chance: 0.25, lasts_us: 1_000_000.0, ..slow_estimate(5.0, 1.0) };
     let average = utility_at(estimate.expected_us(220_000), 600_000.0);
-    let expected = estimate.worth(220_000, 0.0, 600_000.0);
+    let expected = estimate.expected_utility(220_000, 0.0, 600_000.0);
     assert!(expected < average - 0.1, "{expected} {average}");
     assert!((0.70..0.78).contains(&expected), "three of four runs are in time: {expected}");
 }
--- a/valetrack/src/placement/view/utility.rs
+++ b/valetrack/src/placement/view/utility.rs
@@ -58,7 +58,7 @@
         let speed = SpeedEstimate::of(&load, age_us);
         let weight = 0.5_f64.powf(age_us as f64 / speed.lasts_us);
         let before_us = self.before_run_us(view, &load, demand, age_us, weight);
-        let timely_chance = speed.worth(demand.work_us.into(), before_us, demand.left_us as f64);
+        let timely_chance = speed.expected_utility(demand.work_us.into(), before_us, demand.left_us as f64);
         timely_chance - network_cost(view.cross_domain, view.last_report.is_some())
     }
 
