--- a/valetrack/src/gate/mod.rs
+++ b/valetrack/src/gate/mod.rs
@@ -39,7 +39,7 @@
 pub use objective::objective;
 pub use origin::OriginTracker;
 pub use outage::Outage;
-pub use pace::{SLOWDOWN_DURATION_US, SpeedEstimate, fading, utility_at};
+pub use pace::{SLOWDOWN_DURATION_US, SpeedEstimate, history_weight, utility_at};
 pub use protocol::{Classified, Health, HostLoad, NativeUpstream, UpstreamProtocol};
 pub use speed::Speed;
 pub use state::{Gate, GateConfig, RESULT_RETENTION_US};
--- a/valetrack/src/gate/pace.rs
+++ b/valetrack/src/gate/pace.rs
@@ -44,7 +44,7 @@
             0 => SLOWDOWN_DURATION_US as f64,
             lasts_ms => f64::from(lasts_ms) * 1000.0,
         };
-        let history = fading(age_us);
+        let history = history_weight(age_us);
         let faded = |percent: u16| 1.0 + (factor(percent) - 1.0) * history;
         let slow_share = f64::from(load.slow_share_percent) / PERCENT;
         let reported = f64::from(load.slow_chance_percent) / PERCENT;
@@ -123,6 +123,6 @@
 }
 
 /// Returns the weight of a server's history after `age_us` without a report, from one down to zero.
-pub fn fading(age_us: u64) -> f64 {
+pub fn history_weight(age_us: u64) -> f64 {
     0.5_f64.powf(age_us as f64 / HISTORY_HALF_LIFE_US as f64)
 }
--- a/valetrack/src/gate/speed.rs
+++ b/valetrack/src/gate/speed.rs
@@ -2,7 +2,7 @@
 
 use super::kept::KeptSpeedShare;
 use super::message::{LoadReport, RunTimes};
-use super::pace::{SLOWDOWN_DURATION_US, SpeedEstimate, fading};
+use super::pace::{SLOWDOWN_DURATION_US, SpeedEstimate, history_weight};
 
 /// Slowdown from which on a machine is in a slow episode.
 const EPISODE_FACTOR_MIN: f64 = 1.5;
@@ -316,7 +316,7 @@
     /// Writes the estimate into the report of a server on which nothing has run for `idle_us`.
     pub fn report(&self, load: &mut LoadReport, now_us: u64, idle_us: u64) {
         let estimate = self.estimate(now_us);
-        let weight = fading(idle_us);
+        let weight = history_weight(idle_us);
         let fade = |factor: f64| to_percent(1.0 + (factor - 1.0) * weight);
         load.fast_percent = fade(estimate.fast);
         load.slow_percent = fade(estimate.slow);
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -12,7 +12,7 @@
     AttemptId, CancelResult, DeclineReason, GateAction, GateEvent, LoadReport, Objective, QueueTimeout, RunTimes,
 };
 use super::outage::Outage;
-use super::pace::fading;
+use super::pace::history_weight;
 use super::progress::Progress;
 use super::speed::Speed;
 
@@ -210,7 +210,7 @@
     /// once would otherwise receive no call that could show a better time.
     fn reported_service_us(&self, now_us: u64) -> i64 {
         let over_us = (self.service_us - FIRST_SERVICE_US).max(0) as f64;
-        let faded_us = (over_us * fading(self.idle_us(now_us))) as i64;
+        let faded_us = (over_us * history_weight(self.idle_us(now_us))) as i64;
         self.service_us.min(FIRST_SERVICE_US + faded_us)
     }
 
--- a/valetrack/src/placement/view/utility.rs
+++ b/valetrack/src/placement/view/utility.rs
@@ -1,7 +1,7 @@
 //! Utility of a call at each server, and server selection for calls with an objective.
 
 use super::{ASSUMED_LIMIT, MAX_SERVERS, STALL_PENALTY_US, ServerView, ServiceView, pick_where, wait_us};
-use crate::gate::{LoadReport, SpeedEstimate, fading};
+use crate::gate::{LoadReport, SpeedEstimate, history_weight};
 use crate::placement::message::{Demand, ServerIndex};
 use crate::placement::network_cost::network_cost;
 use crate::placement::policy::Policy;
@@ -68,7 +68,7 @@
         let limit = f64::from(load.limit.max(1));
         let busy = f64::from(view.outstanding) + view.reported_others(load) * weight;
         let wait_us = wait_us(busy, limit, f64::from(load.service_us));
-        let failing = view.failure_share.max(f64::from(load.failing_percent) / 100.0) * fading(age_us);
+        let failing = view.failure_share.max(f64::from(load.failing_percent) / 100.0) * history_weight(age_us);
         let failure_us = failing * FAILING_WEIGHT * demand.left_us as f64;
         let stall_us = if load.stalled { STALL_PENALTY_US * weight } else { 0.0 };
         // A cold server that has used up its starts looks idle, and would attract all calls.
