--- a/valetrack/src/caller/request.rs
+++ b/valetrack/src/caller/request.rs
@@ -7,7 +7,7 @@
 
 use crate::bundle::{AccountRule, AccountTable, Bundle, ServiceRule};
 use crate::code::Code;
-use crate::gate::{ACCOUNT_HEADER, AttemptId, PERMILLE, QueueTimeout, REPEAT_HEADER, travelling};
+use crate::gate::{ACCOUNT_HEADER, AttemptId, PERMILLE, QueueTimeout, REPEAT_HEADER, forwarded_headers};
 use crate::link::message::CallHead;
 
 /// Header with the name of the service; without it, the first label of the host is the name.
@@ -82,7 +82,7 @@
     let forwards_keys = bundle.accounts.is_empty();
     let is_forwarded = |name: &str| !is_own(name) && (forwards_keys || name != AUTHORIZATION_HEADER);
     let call_id = call_id(headers)?.map_or_else(new_id, str::to_owned);
-    let forwarded = travelling(headers);
+    let forwarded = forwarded_headers(headers);
     let size: usize = forwarded.iter().map(|(name, value)| name.len() + value.len()).sum();
     if size + path.len() > HEADERS_MAX_BYTES {
         return Err(reject(Code::HeaderInvalid, 431));
--- a/valetrack/src/gate/header.rs
+++ b/valetrack/src/gate/header.rs
@@ -33,7 +33,7 @@
 }
 
 /// Returns the headers that are forwarded.
-pub fn travelling(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
+pub fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
     let pair = |(name, value): (&HeaderName, &HeaderValue)| {
         is_end_to_end(name.as_str()).then(|| (name.as_str().to_owned(), value.as_bytes().to_vec()))
     };
--- a/valetrack/src/gate/mod.rs
+++ b/valetrack/src/gate/mod.rs
@@ -28,7 +28,7 @@
 
 pub use cold::{ColdBound, ColdRule};
 pub use crash::CrashWatch;
-pub use header::{ACCOUNT_HEADER, REPEAT_HEADER, travelling};
+pub use header::{ACCOUNT_HEADER, REPEAT_HEADER, forwarded_headers};
 pub use kept::KeptSpeedShare;
 pub use ledger::RunLedger;
 pub use limit::ConcurrencyLimit;
--- a/valetrack/src/gate/run.rs
+++ b/valetrack/src/gate/run.rs
@@ -17,7 +17,7 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, timeout};
 
-use super::header::travelling;
+use super::header::forwarded_headers;
 use super::ledger::{LedgerEntry, RunLedger};
 use super::message::{AttemptId, CancelResult, DeclineReason, GateAction, GateEvent, LoadReport, PERMILLE, RunTimes};
 use super::objective::objective;
@@ -468,7 +468,7 @@
         code: 0,
         status: answer.status,
         retry_after_ms: 0,
-        headers: travelling(&answer.headers),
+        headers: forwarded_headers(&answer.headers),
         body_bytes: answer.body.len() as u32,
         nested: None,
         work_us: 0,
