--- a/standin/src/overload/world/owner.rs
+++ b/standin/src/overload/world/owner.rs
@@ -31,7 +31,7 @@
         let deadline_us = record.deadline_us;
         self.held.insert(attempt, Held { call, server, deadline_us, run: None });
         let machine = &mut self.vms[vm];
-        if machine.gate.wants_news(record.work_us.into(), self.now_us) {
+        if machine.gate.needs_speed_update(record.work_us.into(), self.now_us) {
             machine.gate.asked(self.now_us);
             machine.gate.told(machine.upstream.reported_percent(self.now_us), self.now_us);
         }
--- a/valetrack/src/gate/run/machine.rs
+++ b/valetrack/src/gate/run/machine.rs
@@ -21,7 +21,7 @@
     /// Requests the machine's speed if the speed varies and its last report is too old for a run of `work_us`. A
     /// missing answer changes nothing.
     pub async fn refresh_speed(&self, work_us: u64) {
-        if !self.gate.borrow().wants_news(work_us, steady_us()) {
+        if !self.gate.borrow().needs_speed_update(work_us, steady_us()) {
             return;
         }
         let path = self.health_path.borrow().clone();
@@ -29,7 +29,7 @@
             return;
         };
         let _guard = self.speed_request.lock().await;
-        if self.gate.borrow().wants_news(work_us, steady_us()) {
+        if self.gate.borrow().needs_speed_update(work_us, steady_us()) {
             self.request_speed(&path).await;
         }
     }
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -332,7 +332,7 @@
 
     /// Returns whether the machine's speed must be requested before a run of `work_us` is admitted. A gate that admits
     /// no run needs none.
-    pub fn wants_news(&self, work_us: u64, now_us: u64) -> bool {
+    pub fn needs_speed_update(&self, work_us: u64, now_us: u64) -> bool {
         self.closed_reason(now_us).is_none()
             && self.running.len() < usize::from(self.config.slots)
             && self.speed.needs_report(work_us, now_us)
--- a/valetrack/src/gate/tests/outage.rs
+++ b/valetrack/src/gate/tests/outage.rs
@@ -56,9 +56,9 @@
 fn no_speed_request_while_upstream_is_down() {
     let mut gate = Gate::new(GateConfig { slots: 4, rescue: false, ..GateConfig::default() }, 0);
     gate.handle(GateEvent::Open, 0, &mut Vec::new());
-    assert!(gate.wants_news(100_000, 50_000));
+    assert!(gate.needs_speed_update(100_000, 50_000));
     assert!((0..2).all(|seq| try_call(&mut gate, seq, 50_000)));
-    assert!(!gate.wants_news(100_000, 60_000));
+    assert!(!gate.needs_speed_update(100_000, 60_000));
     gate.on_health_check_answered();
-    assert!(gate.wants_news(100_000, 60_000), "the upstream answered a health check");
+    assert!(gate.needs_speed_update(100_000, 60_000), "the upstream answered a health check");
 }
