--- a/standin/src/overload/world/owner.rs
+++ b/standin/src/overload/world/owner.rs
@@ -33,7 +33,7 @@
         let machine = &mut self.vms[vm];
         if machine.gate.needs_speed_update(record.work_us.into(), self.now_us) {
             machine.gate.asked(self.now_us);
-            machine.gate.told(machine.upstream.reported_percent(self.now_us), self.now_us);
+            machine.gate.on_slowdown_reported(machine.upstream.reported_percent(self.now_us), self.now_us);
         }
         let objective = objective(&head, internal);
         self.gate_event(vm, GateEvent::Arrive { attempt, deadline_us, patience, priority, objective });
@@ -59,7 +59,7 @@
         machine.tick_us = None;
         if machine.gate.asks_about_episode(self.now_us) {
             machine.gate.asked(self.now_us);
-            machine.gate.told(machine.upstream.reported_percent(self.now_us), self.now_us);
+            machine.gate.on_slowdown_reported(machine.upstream.reported_percent(self.now_us), self.now_us);
         }
         self.gate_event(vm, GateEvent::Tick);
     }
@@ -187,7 +187,7 @@
         let Run { vm, attempt, began_us, slowdown, reported_percent, work_us, .. } = *run;
         let machine = &mut self.vms[vm];
         machine.upstream.running -= 1;
-        machine.gate.told(machine.upstream.reported_percent(self.now_us), self.now_us);
+        machine.gate.on_slowdown_reported(machine.upstream.reported_percent(self.now_us), self.now_us);
         let ran_us = self.now_us - began_us;
         let unslowed_us = machine.gate.unslowed_us(ran_us, slowdown, machine.gate.slowdown(self.now_us));
         let times = RunTimes {
--- a/valetrack/src/gate/run/machine.rs
+++ b/valetrack/src/gate/run/machine.rs
@@ -64,7 +64,7 @@
 
     pub(super) fn record_load(&self, load: HostLoad) {
         let slowdown_percent = load.slowdown_percent.min(u32::from(u16::MAX)) as u16;
-        self.gate.borrow_mut().told(slowdown_percent, steady_us());
+        self.gate.borrow_mut().on_slowdown_reported(slowdown_percent, steady_us());
     }
 
     /// Returns the duration of a run that ends now, and its estimated duration at full speed.
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -215,7 +215,7 @@
     }
 
     /// Records the slowdown that the server's machine reported.
-    pub fn told(&mut self, slowdown_percent: u16, now_us: u64) {
+    pub fn on_slowdown_reported(&mut self, slowdown_percent: u16, now_us: u64) {
         self.speed.record_slowdown(slowdown_percent, now_us);
     }
 
--- a/valetrack/src/gate/tests/speed.rs
+++ b/valetrack/src/gate/tests/speed.rs
@@ -159,7 +159,7 @@
 /// other server is `elsewhere_permille`.
 fn arrive_at_machine(slowdown_percent: u16, elsewhere_permille: u16) -> Vec<GateAction> {
     let mut gate = Gate::new(GateConfig::default(), 0);
-    gate.told(slowdown_percent, 0);
+    gate.on_slowdown_reported(slowdown_percent, 0);
     let objective = Objective { left_us: 250_000, work_us: WORK_US, elsewhere_permille, wait_max_us: 50_000 };
     let arrive = GateEvent::Arrive {
         attempt: ATTEMPT,
@@ -188,7 +188,7 @@
 /// Opens a gate whose machine is slowed five times from the start, and sends it a call of [`WORK_US`].
 fn arrive_in_episode(patience: QueueTimeout) -> (Gate, Vec<GateAction>) {
     let mut gate = Gate::new(GateConfig::default(), 0);
-    gate.told(500, 0);
+    gate.on_slowdown_reported(500, 0);
     let objective = Objective { left_us: 250_000, work_us: WORK_US, elsewhere_permille: 0, wait_max_us: 50_000 };
     let arrive = GateEvent::Arrive {
         attempt: ATTEMPT,
@@ -208,7 +208,7 @@
     assert_eq!(out, [], "the run is deferred although slots are free");
     assert!(gate.asks_about_episode(20_000), "the machine is asked during the wait");
     let mut out = Vec::new();
-    gate.told(100, 30_000);
+    gate.on_slowdown_reported(100, 30_000);
     gate.handle(GateEvent::Tick, 30_000, &mut out);
     assert_eq!(out, [STARTED]);
 }
@@ -218,7 +218,7 @@
     let (mut gate, _) = arrive_in_episode(QueueTimeout::Long);
     let mut out = Vec::new();
     let started_us = (1..500).map(|step| step * 10_000).find(|&now_us| {
-        gate.told(500, now_us);
+        gate.on_slowdown_reported(500, now_us);
         gate.handle(GateEvent::Tick, now_us, &mut out);
         !out.is_empty()
     });
