--- a/standin/src/overload/world/owner.rs
+++ b/standin/src/overload/world/owner.rs
@@ -32,7 +32,7 @@
         self.held.insert(attempt, Held { call, server, deadline_us, run: None });
         let machine = &mut self.vms[vm];
         if machine.gate.needs_speed_update(record.work_us.into(), self.now_us) {
-            machine.gate.asked(self.now_us);
+            machine.gate.on_speed_requested(self.now_us);
             machine.gate.on_slowdown_reported(machine.upstream.reported_percent(self.now_us), self.now_us);
         }
         let objective = objective(&head, internal);
@@ -58,7 +58,7 @@
         let machine = &mut self.vms[vm];
         machine.tick_us = None;
         if machine.gate.asks_about_episode(self.now_us) {
-            machine.gate.asked(self.now_us);
+            machine.gate.on_speed_requested(self.now_us);
             machine.gate.on_slowdown_reported(machine.upstream.reported_percent(self.now_us), self.now_us);
         }
         self.gate_event(vm, GateEvent::Tick);
--- a/valetrack/src/gate/run/machine.rs
+++ b/valetrack/src/gate/run/machine.rs
@@ -36,7 +36,7 @@
 
     async fn request_speed(&self, path: &str) {
         self.metrics.speed_questions.inc();
-        self.gate.borrow_mut().asked(steady_us());
+        self.gate.borrow_mut().on_speed_requested(steady_us());
         match self.pool.machine_load(path).await {
             MachineAnswer::Load { load, cold_ms } => {
                 self.gate.borrow_mut().on_health_check_answered();
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -247,7 +247,7 @@
     }
 
     /// Records that the machine's speed was requested.
-    pub fn asked(&mut self, now_us: u64) {
+    pub fn on_speed_requested(&mut self, now_us: u64) {
         self.speed.record_request(now_us);
     }
 
