--- a/standin/src/overload/world/owner.rs
+++ b/standin/src/overload/world/owner.rs
@@ -57,7 +57,7 @@
     pub(super) fn handle_tick(&mut self, vm: usize) {
         let machine = &mut self.vms[vm];
         machine.tick_us = None;
-        if machine.gate.asks_about_episode(self.now_us) {
+        if machine.gate.needs_episode_update(self.now_us) {
             machine.gate.on_speed_requested(self.now_us);
             machine.gate.on_slowdown_reported(machine.upstream.reported_percent(self.now_us), self.now_us);
         }
--- a/valetrack/src/gate/run/machine.rs
+++ b/valetrack/src/gate/run/machine.rs
@@ -52,7 +52,7 @@
 
     /// Requests the machine's speed if calls wait for the end of a slow episode.
     pub(super) async fn refresh_deferred_speed(&self) {
-        if !self.gate.borrow().asks_about_episode(steady_us()) {
+        if !self.gate.borrow().needs_episode_update(steady_us()) {
             return;
         }
         let path = self.health_path.borrow().clone();
--- a/valetrack/src/gate/state/queue.rs
+++ b/valetrack/src/gate/state/queue.rs
@@ -153,7 +153,7 @@
     }
 
     /// Returns whether the machine's speed must be requested because calls wait for the end of a slow episode.
-    pub fn asks_about_episode(&self, now_us: u64) -> bool {
+    pub fn needs_episode_update(&self, now_us: u64) -> bool {
         now_us >= self.speed.next_request_us() && self.waiting.iter().any(|waiting| self.is_deferred(waiting, now_us))
     }
 
--- a/valetrack/src/gate/tests/speed.rs
+++ b/valetrack/src/gate/tests/speed.rs
@@ -206,7 +206,7 @@
 fn run_is_deferred_until_slow_episode_ends() {
     let (mut gate, out) = arrive_in_episode(QueueTimeout::Long);
     assert_eq!(out, [], "the run is deferred although slots are free");
-    assert!(gate.asks_about_episode(20_000), "the machine is asked during the wait");
+    assert!(gate.needs_episode_update(20_000), "the machine is asked during the wait");
     let mut out = Vec::new();
     gate.on_slowdown_reported(100, 30_000);
     gate.handle(GateEvent::Tick, 30_000, &mut out);
