--- a/valetrack/src/gate/run.rs
+++ b/valetrack/src/gate/run.rs
@@ -239,7 +239,7 @@
     }
 
     /// Runs the gate's timer, which ends waits that have expired; it never returns.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timer(self: Rc<Self>) {
         loop {
             let next_us = self.gate.borrow().next_tick_us(steady_us());
             let pause = next_us.map(|next_us| Duration::from_micros(next_us.saturating_sub(steady_us()).max(200)));
--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -132,7 +132,7 @@
     });
     let shell = Rc::new(Shell { gate, quotas, peers: Peers::new(endpoint.clone()), parts });
     let mut tasks = tokio::task::JoinSet::new();
-    tasks.spawn_local(shell.gate.clone().keep_time());
+    tasks.spawn_local(shell.gate.clone().run_timer());
     tasks.spawn_local(shell.gate.clone().follow_upstream());
     let members = shell.gate.clone().follow_members(shell.parts.domain.clone(), shell.parts.members.clone());
     tasks.spawn_local(members);
