--- a/valetrack/src/gate/crash.rs
+++ b/valetrack/src/gate/crash.rs
@@ -17,7 +17,7 @@
 
 impl CrashWatch {
     /// Records a start without an announcement of leaving before it; returns the number of recent ones.
-    pub fn crashed(&mut self, now_us: u64) -> usize {
+    pub fn record_crash(&mut self, now_us: u64) -> usize {
         self.expire(now_us);
         self.crashes_us.push_back(now_us);
         self.crashes_us.len()
--- a/valetrack/src/node/start.rs
+++ b/valetrack/src/node/start.rs
@@ -363,7 +363,7 @@
     }
     if state.start != start && phase == UpstreamPhase::Ready {
         metrics.upstream_crashes.inc();
-        let crashes = watch.crashed(now);
+        let crashes = watch.record_crash(now);
         if watch.is_recurrent(now) {
             log::warn!("event=upstream.recurrent_crash id={} crashes={crashes}", announcement.id);
         }
