--- a/valetrack/src/gate/mod.rs
+++ b/valetrack/src/gate/mod.rs
@@ -14,13 +14,13 @@
 mod objective;
 mod origin;
 mod outage;
-mod pace;
 mod packed;
 pub mod pool;
 mod progress;
 mod protocol;
 pub mod run;
 mod speed;
+mod speed_estimate;
 mod state;
 #[cfg(test)]
 mod tests;
@@ -39,8 +39,8 @@
 pub use objective::objective;
 pub use origin::OriginTracker;
 pub use outage::Outage;
-pub use pace::{SLOWDOWN_DURATION_US, SpeedEstimate, history_weight, utility_at};
 pub use protocol::{Classified, Health, HostLoad, NativeUpstream, UpstreamProtocol};
 pub use speed::Speed;
+pub use speed_estimate::{SLOWDOWN_DURATION_US, SpeedEstimate, history_weight, utility_at};
 pub use state::{Gate, GateConfig, RESULT_RETENTION_US};
 pub use upstream::{Announcement, UpstreamPhase, UpstreamState};
--- a/valetrack/src/gate/speed.rs
+++ b/valetrack/src/gate/speed.rs
@@ -2,7 +2,7 @@
 
 use super::kept::KeptSpeedShare;
 use super::message::{LoadReport, RunTimes};
-use super::pace::{SLOWDOWN_DURATION_US, SpeedEstimate, history_weight};
+use super::speed_estimate::{SLOWDOWN_DURATION_US, SpeedEstimate, history_weight};
 
 /// Slowdown from which on a machine is in a slow episode.
 const EPISODE_FACTOR_MIN: f64 = 1.5;
--- a/valetrack/src/gate/state.rs
+++ b/valetrack/src/gate/state.rs
@@ -12,9 +12,9 @@
     AttemptId, CancelResult, DeclineReason, GateAction, GateEvent, LoadReport, Objective, QueueTimeout, RunTimes,
 };
 use super::outage::Outage;
-use super::pace::history_weight;
 use super::progress::Progress;
 use super::speed::Speed;
+use super::speed_estimate::history_weight;
 
 /// How long the result of an ended or cancelled attempt is kept.
 ///
