--- a/valetrack/src/gate/tests/life.rs
+++ b/valetrack/src/gate/tests/life.rs
@@ -104,7 +104,8 @@
         let announcements = |born_ms: u64, leaves: bool| {
             (1..=6u64).map(move |sequence| heartbeat(Some(born_ms), sequence, !(leaves && sequence >= 5)))
         };
-        let received: Vec<Announcement> = announcements(100, first_leaves).chain(announcements(200, second_leaves)).collect();
+        let received: Vec<Announcement> =
+            announcements(100, first_leaves).chain(announcements(200, second_leaves)).collect();
         let mut state = UpstreamState::unknown();
         let mut second_received = false;
         let mut left = false;
