--- a/valetrack/src/crash/history.rs
+++ b/valetrack/src/crash/history.rs
@@ -37,7 +37,7 @@
 
 /// Status of one call.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct CallStatus {
     /// Crashes of which it is a suspect, the earliest first.
     pub refs: Vec<SuspectRef>,
     /// Number of trials.
@@ -50,7 +50,7 @@
     pub from: Option<Arc<str>>,
 }
 
-impl Standing {
+impl CallStatus {
     /// Returns how many upstreams have crashed under the call since it was last answered.
     pub fn crashes(&self) -> usize {
         self.refs.len()
@@ -161,7 +161,7 @@
     ///
     /// It reads the body only if a suspect has the same head, so that large bodies stay fast: see the benchmark of
     /// fingerprints.
-    pub fn standing(&self, head: &CallHead, body: &[u8]) -> Standing {
+    pub fn standing(&self, head: &CallHead, body: &[u8]) -> CallStatus {
         let mut refs = Vec::new();
         for (key, by_head) in &self.index {
             let Some(suspects) = by_head.get(&key.head_fingerprint(head)) else {
@@ -176,8 +176,8 @@
         self.standing_of(refs)
     }
 
-    fn standing_of(&self, refs: Vec<SuspectRef>) -> Standing {
-        let mut standing = Standing { since_us: u64::MAX, ..Standing::default() };
+    fn standing_of(&self, refs: Vec<SuspectRef>) -> CallStatus {
+        let mut standing = CallStatus { since_us: u64::MAX, ..CallStatus::default() };
         for suspect_ref in &refs {
             let Some(record) = self.records.get(&suspect_ref.crash) else {
                 continue;
@@ -190,7 +190,7 @@
                 standing.from = Some(record.from.clone());
             }
         }
-        Standing { refs, ..standing }
+        CallStatus { refs, ..standing }
     }
 
     /// Clears suspects; returns the reports that it changed.
--- a/valetrack/src/crash/mod.rs
+++ b/valetrack/src/crash/mod.rs
@@ -20,7 +20,7 @@
 pub use answered::RecentAnswers;
 pub use detect::{CrashDetector, Down, ExchangeEnd};
 pub use fingerprint::{Fingerprint, FingerprintKey};
-pub use history::{ARCHIVE_MAX, CRASHES_MAX, CrashHistory, HISTORY_MAX, Standing, TRIAL_PAUSES_US, TRIALS_MAX};
+pub use history::{ARCHIVE_MAX, CRASHES_MAX, CallStatus, CrashHistory, HISTORY_MAX, TRIAL_PAUSES_US, TRIALS_MAX};
 pub use message::{
     Admission, CrashId, CrashJob, CrashReport, CrashedCall, RunningCall, SUSPECTS_MAX, Suspect, SuspectRef,
 };
--- a/valetrack/src/crash/quarantine.rs
+++ b/valetrack/src/crash/quarantine.rs
@@ -12,7 +12,7 @@
 
 use super::answered::RecentAnswers;
 use super::fingerprint::FingerprintKey;
-use super::history::{CRASHES_MAX, CrashHistory, Standing};
+use super::history::{CRASHES_MAX, CallStatus, CrashHistory};
 use super::message::{Admission, CrashJob, CrashedCall, RunningCall, SuspectRef};
 use crate::clock::now_us;
 use crate::code::Code;
@@ -54,7 +54,7 @@
     }
 
     /// Returns the status of a call if it is a suspect.
-    fn suspect_status(&self, head: &CallHead, body: &[u8]) -> Option<Standing> {
+    fn suspect_status(&self, head: &CallHead, body: &[u8]) -> Option<CallStatus> {
         let history = self.history.borrow();
         if !history.has_suspects() {
             return None;
@@ -64,7 +64,7 @@
 
     /// Returns whether the entry has to refuse a call at once, because no owner would run it.
     pub fn refuses(&self, head: &CallHead, body: &[u8]) -> bool {
-        let Some(standing) = self.suspect_status(head, body).filter(Standing::is_refused) else {
+        let Some(standing) = self.suspect_status(head, body).filter(CallStatus::is_refused) else {
             return false;
         };
         if standing.trial_due_us().is_some_and(|due_us| now_us() >= due_us) {
@@ -107,7 +107,7 @@
             Admission::Trial => None,
             Admission::Clear | Admission::Alone | Admission::Refused => self.suspect_status(&call.head, &call.body),
         };
-        let Some(standing) = standing.filter(Standing::is_refused) else {
+        let Some(standing) = standing.filter(CallStatus::is_refused) else {
             return false;
         };
         self.record_refused(&call.head, &standing, "owner");
@@ -126,7 +126,7 @@
         sent.is_ok() && matches!(answer, Ok(Ok(true)))
     }
 
-    fn record_refused(&self, head: &CallHead, standing: &Standing, by: &str) {
+    fn record_refused(&self, head: &CallHead, standing: &CallStatus, by: &str) {
         self.metrics.quarantined_calls.with_label_values(&[&*head.service, by]).inc();
         let fingerprint = standing.refs.first().map(|suspect_ref| suspect_ref.fingerprint);
         log::warn!(
