--- a/standin/src/crash/fleet.rs
+++ b/standin/src/crash/fleet.rs
@@ -151,12 +151,12 @@
             return;
         };
         let owner = &mut self.owners[at];
-        let standing = owner.history.standing(&head(&path), b"");
-        if standing.is_refused() {
+        let status = owner.history.status(&head(&path), b"");
+        if status.is_refused() {
             self.outcome.false_refusals += u64::from(path != CRASHING_PATH);
             return;
         }
-        let suspect = standing.crashes() > 0;
+        let suspect = status.crashes() > 0;
         if owner.runs.len() >= SLOTS || (suspect && owner.runs.iter().any(|run| run.suspect)) {
             if retries < RETRIES_MAX {
                 self.schedule_call(now_ms + RUN_MS / 2, path, retries + 1);
@@ -178,7 +178,7 @@
         for Run { path, .. } in ended {
             let head = head(&path);
             self.owners[at].answers.answered(KEY, &head, b"", now_ms * 1000 + 1);
-            let refs = self.owners[at].history.standing(&head, b"").refs;
+            let refs = self.owners[at].history.status(&head, b"").refs;
             let cleared = self.owners[at].history.clear(&refs);
             // Cleared suspects are batched and sent through the store; their bytes count with the next crash.
             for report in cleared {
@@ -200,7 +200,7 @@
             let fingerprint = KEY.fingerprint(&head, b"");
             let is_listed = calls.iter().any(|call| call.fingerprint == fingerprint);
             if !is_listed && !owner.answers.holds(KEY, &head, b"", now_ms * 1000) {
-                let refs = owner.history.standing(&head, b"").refs;
+                let refs = owner.history.status(&head, b"").refs;
                 calls.push(CrashedCall { fingerprint, refs, route: Arc::from("") });
             }
         }
--- a/valetrack/benches/decision.rs
+++ b/valetrack/benches/decision.rs
@@ -135,7 +135,7 @@
     for crashes in [0, 3, 192] {
         let history = history_of(crashes, key);
         c.bench_function(&format!("status of a call with a body of 1 MB among {crashes} crashes"), |b| {
-            b.iter(|| history.has_suspects().then(|| history.standing(&call, &body)));
+            b.iter(|| history.has_suspects().then(|| history.status(&call, &body)));
         });
     }
     c.bench_function("fingerprint of a body of 1 MB", |b| b.iter(|| key.body_fingerprint(&body)));
--- a/valetrack/src/crash/history.rs
+++ b/valetrack/src/crash/history.rs
@@ -161,7 +161,7 @@
     ///
     /// It reads the body only if a suspect has the same head, so that large bodies stay fast: see the benchmark of
     /// fingerprints.
-    pub fn standing(&self, head: &CallHead, body: &[u8]) -> CallStatus {
+    pub fn status(&self, head: &CallHead, body: &[u8]) -> CallStatus {
         let mut refs = Vec::new();
         for (key, by_head) in &self.index {
             let Some(suspects) = by_head.get(&key.head_fingerprint(head)) else {
@@ -177,20 +177,20 @@
     }
 
     fn standing_of(&self, refs: Vec<SuspectRef>) -> CallStatus {
-        let mut standing = CallStatus { since_us: u64::MAX, ..CallStatus::default() };
+        let mut status = CallStatus { since_us: u64::MAX, ..CallStatus::default() };
         for suspect_ref in &refs {
             let Some(record) = self.records.get(&suspect_ref.crash) else {
                 continue;
             };
             let suspect = record.report.suspects.iter().find(|suspect| suspect.fingerprint == suspect_ref.fingerprint);
-            standing.trials += suspect.map_or(0, |suspect| suspect.trials);
-            standing.since_us = standing.since_us.min(record.since_us);
-            if record.since_us.max(record.tried_us) >= standing.latest_us {
-                standing.latest_us = record.since_us.max(record.tried_us);
-                standing.from = Some(record.from.clone());
+            status.trials += suspect.map_or(0, |suspect| suspect.trials);
+            status.since_us = status.since_us.min(record.since_us);
+            if record.since_us.max(record.tried_us) >= status.latest_us {
+                status.latest_us = record.since_us.max(record.tried_us);
+                status.from = Some(record.from.clone());
             }
         }
-        CallStatus { refs, ..standing }
+        CallStatus { refs, ..status }
     }
 
     /// Clears suspects; returns the reports that it changed.
--- a/valetrack/src/crash/quarantine.rs
+++ b/valetrack/src/crash/quarantine.rs
@@ -59,58 +59,58 @@
         if !history.has_suspects() {
             return None;
         }
-        Some(history.standing(head, body)).filter(|standing| standing.crashes() > 0)
+        Some(history.status(head, body)).filter(|status| status.crashes() > 0)
     }
 
     /// Returns whether the entry has to refuse a call at once, because no owner would run it.
     pub fn refuses(&self, head: &CallHead, body: &[u8]) -> bool {
-        let Some(standing) = self.suspect_status(head, body).filter(CallStatus::is_refused) else {
+        let Some(status) = self.suspect_status(head, body).filter(CallStatus::is_refused) else {
             return false;
         };
-        if standing.trial_due_us().is_some_and(|due_us| now_us() >= due_us) {
+        if status.trial_due_us().is_some_and(|due_us| now_us() >= due_us) {
             // The owner decides on trials.
             return false;
         }
-        self.record_refused(head, &standing, "entry");
+        self.record_refused(head, &status, "entry");
         true
     }
 
     /// Returns whether an owner may send a call to its upstream. If a trial is due, it waits until the trial is counted in
     /// the store, for at most [`TRIAL_WAIT_MS`].
     pub async fn admit(&self, head: &CallHead, body: &[u8]) -> Admission {
-        let Some(standing) = self.suspect_status(head, body) else {
+        let Some(status) = self.suspect_status(head, body) else {
             return Admission::Clear;
         };
-        if !standing.is_refused() {
+        if !status.is_refused() {
             return Admission::Alone;
         }
-        let is_due = standing.trial_due_us().is_some_and(|due_us| now_us() >= due_us);
-        if let (true, Some(suspect_ref)) = (is_due, standing.refs.first())
+        let is_due = status.trial_due_us().is_some_and(|due_us| now_us() >= due_us);
+        if let (true, Some(suspect_ref)) = (is_due, status.refs.first())
             && self.count_trial(suspect_ref).await
         {
             log::warn!(
                 "event=crash.trial call={} fingerprint={} trials={}",
                 head.call_id,
                 suspect_ref.fingerprint,
-                standing.trials + 1
+                status.trials + 1
             );
             return Admission::Trial;
         }
-        self.record_refused(head, &standing, "owner");
+        self.record_refused(head, &status, "owner");
         Admission::Refused
     }
 
     /// Returns whether an admitted call must not run after all, because crashes were reported while it waited for a
     /// slot.
     pub fn forbids(&self, admission: Admission, call: &RunningCall) -> bool {
-        let standing = match admission {
+        let status = match admission {
             Admission::Trial => None,
             Admission::Clear | Admission::Alone | Admission::Refused => self.suspect_status(&call.head, &call.body),
         };
-        let Some(standing) = standing.filter(CallStatus::is_refused) else {
+        let Some(status) = status.filter(CallStatus::is_refused) else {
             return false;
         };
-        self.record_refused(&call.head, &standing, "owner");
+        self.record_refused(&call.head, &status, "owner");
         true
     }
 
@@ -126,18 +126,18 @@
         sent.is_ok() && matches!(answer, Ok(Ok(true)))
     }
 
-    fn record_refused(&self, head: &CallHead, standing: &CallStatus, by: &str) {
+    fn record_refused(&self, head: &CallHead, status: &CallStatus, by: &str) {
         self.metrics.quarantined_calls.with_label_values(&[&*head.service, by]).inc();
-        let fingerprint = standing.refs.first().map(|suspect_ref| suspect_ref.fingerprint);
+        let fingerprint = status.refs.first().map(|suspect_ref| suspect_ref.fingerprint);
         log::warn!(
             "event=crash.refused call={} code={} fingerprint={} crashes={} since_ms={} trials={} from={} by={by}",
             head.call_id,
             Code::Quarantined,
             fingerprint.map_or_else(String::new, |fingerprint| fingerprint.to_string()),
-            standing.crashes(),
-            now_us().saturating_sub(standing.since_us) / 1000,
-            standing.trials,
-            standing.from.as_deref().unwrap_or("-")
+            status.crashes(),
+            now_us().saturating_sub(status.since_us) / 1000,
+            status.trials,
+            status.from.as_deref().unwrap_or("-")
         );
     }
 
@@ -146,10 +146,10 @@
         if let Some(key) = self.key {
             self.answers.borrow_mut().answered(key, head, body, now_us());
         }
-        if let Some(standing) = self.suspect_status(head, body) {
-            log::info!("event=crash.cleared call={} crashes={}", head.call_id, standing.crashes());
+        if let Some(status) = self.suspect_status(head, body) {
+            log::info!("event=crash.cleared call={} crashes={}", head.call_id, status.crashes());
             // If the queue is full, the next answer to the call clears it.
-            let _ = self.to_crash.try_send(CrashJob::Answered { refs: standing.refs });
+            let _ = self.to_crash.try_send(CrashJob::Answered { refs: status.refs });
         }
     }
 
@@ -168,7 +168,7 @@
             }
             let fingerprint = key.fingerprint(head, body);
             if calls.iter().all(|other| other.fingerprint != fingerprint) {
-                let refs = self.suspect_status(head, body).map_or_else(Vec::new, |standing| standing.refs);
+                let refs = self.suspect_status(head, body).map_or_else(Vec::new, |status| status.refs);
                 calls.push(CrashedCall { fingerprint, refs, route: head.route.clone() });
             }
         }
--- a/valetrack/src/crash/tests.rs
+++ b/valetrack/src/crash/tests.rs
@@ -63,5 +63,5 @@
 
 /// Returns the number of crashes of which the call with this path is a suspect.
 fn crashes(history: &CrashHistory, path: &str) -> usize {
-    history.standing(&head(path, b""), b"").crashes()
+    history.status(&head(path, b""), b"").crashes()
 }
--- a/valetrack/src/crash/tests/history.rs
+++ b/valetrack/src/crash/tests/history.rs
@@ -14,12 +14,12 @@
     let from = Arc::from("vm-1");
     for (hlc, vm) in [(1, "vm-1"), (2, "vm-2")] {
         history.join(&[report(hlc, vm, &["/a", "/b"])], &from, hlc);
-        assert!(!history.standing(&head("/a", b""), b"").is_refused());
+        assert!(!history.status(&head("/a", b""), b"").is_refused());
     }
     history.join(&[report(3, "vm-3", &["/a"])], &from, 3);
-    let standing = history.standing(&head("/a", b""), b"");
-    assert!(standing.is_refused());
-    assert_eq!((standing.crashes(), standing.since_us, standing.latest_us), (3, 1, 3));
+    let status = history.status(&head("/a", b""), b"");
+    assert!(status.is_refused());
+    assert_eq!((status.crashes(), status.since_us, status.latest_us), (3, 1, 3));
     assert_eq!(crashes(&history, "/b"), 2);
     assert_eq!(crashes(&history, "/never"), 0);
 }
@@ -50,8 +50,8 @@
 fn cleared_call_stays_cleared_after_late_copies() {
     let reports = [report(1, "vm-1", &["/a", "/b"]), report(2, "vm-2", &["/a"])];
     let mut history = history_of(&reports);
-    let standing = history.standing(&head("/a", b""), b"");
-    assert_eq!(history.clear(&standing.refs).len(), 2);
+    let status = history.status(&head("/a", b""), b"");
+    assert_eq!(history.clear(&status.refs).len(), 2);
     history.join(&reports, &Arc::from("late"), 9);
     assert_eq!((crashes(&history, "/a"), crashes(&history, "/b")), (0, 1));
     history.join(&[report(3, "vm-3", &["/a"])], &Arc::from("vm-3"), 10);
@@ -64,7 +64,7 @@
     let mut history =
         history_of(&[report(1, "vm-1", &["/a", "/b"]), report(2, "vm-2", &["/a", "/c"]), crashed.clone()]);
     let call = |path: &str, recorded: usize| {
-        let refs = history.standing(&head(path, b""), b"").refs.into_iter().take(recorded).collect();
+        let refs = history.status(&head(path, b""), b"").refs.into_iter().take(recorded).collect();
         CrashedCall { fingerprint: KEY.fingerprint(&head(path, b""), b""), refs, route: Arc::from("") }
     };
     let calls = [call("/a", 2), call("/c", 1)];
@@ -76,16 +76,16 @@
 #[test]
 fn refused_call_has_two_trials_with_growing_pauses() {
     let mut history = history_of(&[1, 2, 3].map(|hlc| report(hlc, "vm-1", &["/a"])));
-    let standing = |history: &CrashHistory| history.standing(&head("/a", b""), b"");
+    let status = |history: &CrashHistory| history.status(&head("/a", b""), b"");
     let mut due = Vec::new();
     for _ in 0..3 {
-        let now = standing(&history);
+        let now = status(&history);
         due.push(now.trial_due_us().map(|due_us| due_us - now.latest_us));
         let suspect_ref = now.refs.first().expect("a suspect").clone();
         history.count_trial(&suspect_ref, now.latest_us + 5);
     }
     assert_eq!(due, [Some(TRIAL_PAUSES_US[0]), Some(TRIAL_PAUSES_US[1]), None]);
-    assert!(standing(&history).is_refused());
+    assert!(status(&history).is_refused());
 }
 
 #[test]
@@ -167,10 +167,10 @@
         late in prop::collection::vec(some_report(), 0..12),
     ) {
         let mut history = history_of(&reports);
-        let refs = history.standing(&head("/a", b""), b"").refs;
+        let refs = history.status(&head("/a", b""), b"").refs;
         history.clear(&refs);
         history.join(&late, &Arc::from("late"), 5);
-        let again = history.standing(&head("/a", b""), b"").refs;
+        let again = history.status(&head("/a", b""), b"").refs;
         prop_assert!(again.iter().all(|suspect_ref| !refs.contains(suspect_ref)));
     }
 }
--- a/valetrack/src/crash/tests/world.rs
+++ b/valetrack/src/crash/tests/world.rs
@@ -174,7 +174,7 @@
             let (head, body) = (self.head(&run.path), self.scenario.body);
             let upstream = &mut self.upstreams[at];
             upstream.answers.answered(KEY, &head, body, now_ms * 1000 + 1);
-            let refs = upstream.history.standing(&head, body).refs;
+            let refs = upstream.history.status(&head, body).refs;
             let cleared = upstream.history.clear(&refs);
             self.send(cleared, now_ms);
         }
@@ -205,7 +205,7 @@
             let upstream = &self.upstreams[at];
             let answered = upstream.answers.holds(KEY, &head, body, now_ms * 1000);
             if !answered && calls.iter().all(|call| call.fingerprint != fingerprint) {
-                let refs = upstream.history.standing(&head, body).refs;
+                let refs = upstream.history.status(&head, body).refs;
                 calls.push(CrashedCall { fingerprint, refs, route: Arc::from("") });
             }
         }
@@ -232,14 +232,14 @@
         let Some(at) = self.rng.choice(&up).copied() else {
             return;
         };
-        let standing = self.upstreams[at].history.standing(&call, self.scenario.body);
-        if standing.is_refused() {
+        let status = self.upstreams[at].history.status(&call, self.scenario.body);
+        if status.is_refused() {
             if path.starts_with("/usual") && self.refused.insert(path) {
                 self.outcome.false_refusals += 1;
             }
             return;
         }
-        let suspect = standing.crashes() > 0;
+        let suspect = status.crashes() > 0;
         let upstream = &mut self.upstreams[at];
         let beside = suspect && upstream.runs.iter().any(|run| run.suspect);
         if beside || upstream.runs.len() >= SLOTS {
