--- a/valetrack/src/crash/message.rs
+++ b/valetrack/src/crash/message.rs
@@ -149,7 +149,7 @@
         granted: oneshot::Sender<bool>,
     },
     /// Requests that all reports are sent to a node that has just started.
-    Tell {
+    SendReports {
         /// That node.
         target: Target,
     },
--- a/valetrack/src/crash/run.rs
+++ b/valetrack/src/crash/run.rs
@@ -133,7 +133,7 @@
                     let _ = granted.send(counted);
                 });
             }
-            CrashJob::Tell { target } => self.send_all(target),
+            CrashJob::SendReports { target } => self.send_all(target),
         }
     }
 
--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -296,7 +296,7 @@
         // A lost request is harmless: the peer's next reply shows again that it lacks the bundle.
         let _ = self.request(peer.clone(), Question { ask, body: Bytes::new() }).await;
         // The peer cannot read crash reports from the store either. A full channel is harmless for the same reason.
-        let _ = self.parts.to_crash.try_send(CrashJob::Tell { target: peer });
+        let _ = self.parts.to_crash.try_send(CrashJob::SendReports { target: peer });
     }
 
     /// Returns the states of all recorded VMs, this VM first.
