--- a/valetrack/src/crash/message.rs
+++ b/valetrack/src/crash/message.rs
@@ -140,7 +140,7 @@
         value: Vec<u8>,
     },
     /// The store was rolled back: its recorded contents are not valid until it is read again.
-    StoreOlder,
+    StoreRolledBack,
     /// Requests a trial of a call that is kept from upstreams.
     Trial {
         /// The call's entry in one report.
--- a/valetrack/src/crash/run.rs
+++ b/valetrack/src/crash/run.rs
@@ -125,7 +125,7 @@
             CrashJob::Answered { refs } => self.on_suspects_answered(&refs),
             CrashJob::Heard { from, reports } => self.on_reports_received(&reports, &from),
             CrashJob::Stored { service, value } => self.apply_stored(&service, &value),
-            CrashJob::StoreOlder => self.forget_stored(),
+            CrashJob::StoreRolledBack => self.forget_stored(),
             CrashJob::Trial { suspect_ref, granted } => {
                 tokio::task::spawn_local(async move {
                     let counted = self.count_trial(&suspect_ref).await;
--- a/valetrack/src/member/leased/older.rs
+++ b/valetrack/src/member/leased/older.rs
@@ -45,7 +45,7 @@
         self.rollback_from.set(Some(known));
         self.evacuation_keys.borrow_mut().enter_era(&self.evacuation.borrow().domains, now);
         // A full channel means that the store holds many crash reports; the crash thread compares those read next.
-        if self.parts.to_crash.try_send(CrashJob::StoreOlder).is_err() {
+        if self.parts.to_crash.try_send(CrashJob::StoreRolledBack).is_err() {
             log::warn!("event=crash.store_older_dropped reason=\"channel full\"");
         }
         self.log_changed.notify_waiters();
