--- a/valetrack/src/clock.rs
+++ b/valetrack/src/clock.rs
@@ -63,7 +63,7 @@
 }
 
 /// Simulates a suspension of the VM that has just ended, for tests: advances [`now_us`], but not [`steady_us`].
-pub fn put_ahead(by: Duration) {
+pub fn simulate_suspension(by: Duration) {
     AHEAD_US.fetch_add(by.as_micros() as u64, Ordering::Relaxed);
 }
 
--- a/valetrack/src/node/leave.rs
+++ b/valetrack/src/node/leave.rs
@@ -8,7 +8,7 @@
 
 use super::part::NodeParts;
 use super::stage::Stages;
-use crate::clock::put_ahead;
+use crate::clock::simulate_suspension;
 use crate::jobs::background_task_failed;
 use crate::settings::NodeSettings;
 
@@ -46,7 +46,7 @@
         && let Ok(mut suspend) = signal(SignalKind::user_defined2())
     {
         while suspend.recv().await.is_some() {
-            put_ahead(Duration::from_millis(suspension_ms));
+            simulate_suspension(Duration::from_millis(suspension_ms));
         }
     }
     std::future::pending().await
