--- a/valetrack/src/crash/detect.rs
+++ b/valetrack/src/crash/detect.rs
@@ -119,14 +119,14 @@
     /// Returns whether exchanges that had begun before the first connection broke are still in progress.
     ///
     /// Later ones don't count: they are about to find the port closed.
-    pub fn goes_on(&self) -> bool {
+    pub fn has_earlier_exchanges(&self) -> bool {
         self.broke_after.is_some_and(|last| self.running.keys().any(|number| *number <= last))
     }
 
     /// Returns the calls that may have crashed the upstream, after a probe found it down. The result is empty if some of
     /// its exchanges are still in progress, or if the crash was reported before.
     pub fn crashed(&mut self, down: Down, now_us: u64) -> Vec<C> {
-        if self.down.is_some() || self.goes_on() {
+        if self.down.is_some() || self.has_earlier_exchanges() {
             return Vec::new();
         }
         self.drop_expired(now_us);
--- a/valetrack/src/gate/run/crash.rs
+++ b/valetrack/src/gate/run/crash.rs
@@ -95,7 +95,7 @@
                 return Vec::new();
             };
             let mut exchanges = self.exchanges.borrow_mut();
-            if !exchanges.goes_on() {
+            if !exchanges.has_earlier_exchanges() {
                 return exchanges.crashed(down, steady_us());
             }
         }
