--- a/valetrack/src/crash/detect.rs
+++ b/valetrack/src/crash/detect.rs
@@ -112,7 +112,7 @@
 
     /// Records that the upstream is up: connections that broke before have another cause than a crash.
     pub fn alive(&mut self) {
-        self.stands();
+        self.record_reachable();
         self.down = None;
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Records that the upstream accepts connections, so that it has not crashed.
-    pub fn stands(&mut self) {
+    pub fn record_reachable(&mut self) {
         self.broke_after = None;
         self.broken.clear();
     }
--- a/valetrack/src/crash/tests/detect.rs
+++ b/valetrack/src/crash/tests/detect.rs
@@ -38,7 +38,7 @@
     let mut detector = CrashDetector::default();
     let numbers = begin_all(&mut detector, &["a"]);
     assert!(detector.ended(numbers[0], ExchangeEnd::Broken, 1));
-    detector.stands();
+    detector.record_reachable();
     let later = begin_all(&mut detector, &["b"]);
     assert!(detector.ended(later[0], ExchangeEnd::Broken, 9));
     assert_eq!(detector.crashed(Down::Closed, 10), ["b"], "a call that broke before is not a suspect");
--- a/valetrack/src/gate/run/crash.rs
+++ b/valetrack/src/gate/run/crash.rs
@@ -91,7 +91,7 @@
         for _ in 0..SETTLES_MAX {
             sleep(Duration::from_millis(SETTLE_MS)).await;
             let Some(down) = self.pool.check_down(health_path.as_deref()).await else {
-                self.exchanges.borrow_mut().stands();
+                self.exchanges.borrow_mut().record_reachable();
                 return Vec::new();
             };
             let mut exchanges = self.exchanges.borrow_mut();
