--- a/valetrack/src/crash/detect.rs
+++ b/valetrack/src/crash/detect.rs
@@ -88,7 +88,7 @@
         let call = self.running.remove(&number);
         match (end, call) {
             (ExchangeEnd::Answered, _) => {
-                self.alive();
+                self.record_up();
                 false
             }
             (ExchangeEnd::Left, Some(call)) => {
@@ -99,7 +99,7 @@
             (ExchangeEnd::Broken, Some(call)) => {
                 // The upstream has accepted this connection after its crash, so it was up.
                 if self.down == Some(Down::Closed) && number > self.crashed_after {
-                    self.alive();
+                    self.record_up();
                 }
                 self.broke_after.get_or_insert(self.next);
                 self.broken.push(call);
@@ -111,7 +111,7 @@
     }
 
     /// Records that the upstream is up: connections that broke before have another cause than a crash.
-    pub fn alive(&mut self) {
+    pub fn record_up(&mut self) {
         self.record_reachable();
         self.down = None;
     }
--- a/valetrack/src/crash/tests/detect.rs
+++ b/valetrack/src/crash/tests/detect.rs
@@ -86,7 +86,7 @@
     let numbers = begin_all(&mut detector, &["a"]);
     assert!(detector.ended(numbers[0], ExchangeEnd::Broken, 1));
     assert_eq!(detector.crashed(Down::Closed, 2), ["a"]);
-    detector.alive();
+    detector.record_up();
     let numbers = begin_all(&mut detector, &["b"]);
     assert!(detector.ended(numbers[0], ExchangeEnd::Broken, 3));
     assert_eq!(detector.crashed(Down::Closed, 4), ["b"]);
@@ -113,7 +113,7 @@
     let numbers = begin_all(&mut detector, &["b"]);
     assert!(!detector.ended(numbers[0], ExchangeEnd::Broken, 3));
     assert!(detector.crashed(Down::Resets, 4).is_empty());
-    detector.alive();
+    detector.record_up();
     let numbers = begin_all(&mut detector, &["c"]);
     assert!(detector.ended(numbers[0], ExchangeEnd::Broken, 5));
     assert_eq!(detector.crashed(Down::Resets, 6), ["c"]);
--- a/valetrack/src/gate/run/follow.rs
+++ b/valetrack/src/gate/run/follow.rs
@@ -31,7 +31,7 @@
             if state.start != previous.start {
                 self.pool.clear();
                 self.runs.borrow_mut().set_start(state.start);
-                self.exchanges.borrow_mut().alive();
+                self.exchanges.borrow_mut().record_up();
             }
             if let Some(slots) = state.slots {
                 self.gate.borrow_mut().set_slots(slots);
