--- a/valetrack/src/gate/run.rs
+++ b/valetrack/src/gate/run.rs
@@ -228,7 +228,7 @@
 
     /// Logs and counts an attempt that is declined before it waits for a slot.
     fn log_decline(&self, head: &CallHead, reason: DeclineReason) -> DeclineReason {
-        self.metrics.bounces.with_label_values(&[decline_label(reason)]).inc();
+        self.metrics.declined_attempts.with_label_values(&[decline_label(reason)]).inc();
         log::info!("event=gate.bounce call={} attempt={} reason={reason:?}", head.call_id, head.attempt);
         reason
     }
@@ -286,7 +286,7 @@
         let Some(job) = self.jobs.borrow_mut().remove(&attempt) else {
             return;
         };
-        self.metrics.bounces.with_label_values(&[decline_label(reason)]).inc();
+        self.metrics.declined_attempts.with_label_values(&[decline_label(reason)]).inc();
         let load = self.load();
         log::info!(
             "event=gate.bounce call={} attempt={attempt} reason={reason:?} running={} waiting={} limit={} \
--- a/valetrack/src/metric.rs
+++ b/valetrack/src/metric.rs
@@ -31,7 +31,7 @@
     /// This node's share of the fleet's retry reserve, by service.
     pub repeat_reserve: GaugeVec,
     /// Declined attempts, by reason.
-    pub bounces: IntCounterVec,
+    pub declined_attempts: IntCounterVec,
     /// Calls that run on this VM's upstream.
     pub gate_in_flight: IntGauge,
     /// Calls that wait for a slot of this VM's upstream.
@@ -139,7 +139,11 @@
             nested_repeats,
             repeats_left: gauges_by("valetrack_repeats_left", "Retries that this node may still send now."),
             repeat_reserve: gauges_by("valetrack_repeat_reserve", "This node's share of the fleet's retry reserve."),
-            bounces: counters("valetrack_bounces_total", "Attempts declined before their start, by reason.", "reason"),
+            declined_attempts: counters(
+                "valetrack_bounces_total",
+                "Attempts declined before their start, by reason.",
+                "reason",
+            ),
             gate_in_flight: gauge("valetrack_gate_in_flight_calls", "Calls that run on the upstream."),
             gate_queued: gauge("valetrack_gate_queued_calls", "Calls that wait for a slot of the upstream."),
             upstream_crashes: counter(
