--- a/valetrack/src/metric.rs
+++ b/valetrack/src/metric.rs
@@ -59,7 +59,7 @@
     /// Calls that were refused because their client account exceeds its rate.
     pub over_rate: IntCounter,
     /// Credit requests that were sent to homes of client accounts.
-    pub quota_questions: IntCounter,
+    pub quota_requests: IntCounter,
     /// Calls for which no home of their client account answered.
     pub quota_unanswered: IntCounter,
     /// Bytes that were transferred only for measurements.
@@ -180,7 +180,7 @@
                 "valetrack_over_rate_calls_total",
                 "Calls refused because their account exceeds its rate.",
             ),
-            quota_questions: counter("valetrack_quota_questions_total", "Credit requests to homes of client accounts."),
+            quota_requests: counter("valetrack_quota_questions_total", "Credit requests to homes of client accounts."),
             quota_unanswered: counter(
                 "valetrack_quota_unanswered_total",
                 "Calls for which no home of their account answered.",
--- a/valetrack/src/quota/run.rs
+++ b/valetrack/src/quota/run.rs
@@ -154,7 +154,7 @@
         if home.vm == self.parts.vm {
             return self.grant(&rule.name, calls, instead_of).await;
         }
-        self.parts.metrics.quota_questions.inc();
+        self.parts.metrics.quota_requests.inc();
         let ask = Ask::Quota { account: rule.name.clone(), calls, instead_of: instead_of.cloned() };
         let request = Question { ask, body: Bytes::new() };
         let limit = Duration::from_millis(REPLY_TIMEOUT_MS);
