--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -161,7 +161,7 @@
 
     /// Requests the changes in the store from a relay, and sends it this node's entry to keep.
     async fn request_update(&self, relay: &Target, after: Position, was_behind: bool) -> RelayReply {
-        self.parts.metrics.relay_questions.inc();
+        self.parts.metrics.relay_requests.inc();
         let is_relay = self.is_relay();
         let wait_ms = match () {
             () if was_behind => AGAIN_WAIT_MS,
--- a/valetrack/src/metric.rs
+++ b/valetrack/src/metric.rs
@@ -71,7 +71,7 @@
     /// Speed requests that were sent to the upstream's machine.
     pub speed_questions: IntCounter,
     /// Requests to the node that is followed instead of the store.
-    pub relay_questions: IntCounter,
+    pub relay_requests: IntCounter,
     /// Calls to the store, by kind.
     pub store_calls: IntCounterVec,
     /// Calls to the store that failed, by code.
@@ -188,7 +188,7 @@
             measure_bytes: counter("valetrack_measure_bytes_total", "Bytes transferred only for measurements."),
             measure_budget: gauge("valetrack_measure_budget_bytes_per_second", "Measurement budget."),
             probes: counter("valetrack_probes_total", "Probes sent."),
-            relay_questions: counter(
+            relay_requests: counter(
                 "valetrack_relay_questions_total",
                 "Requests to the node that is followed instead of the store.",
             ),
