--- a/valetrack/src/gate/run/machine.rs
+++ b/valetrack/src/gate/run/machine.rs
@@ -35,7 +35,7 @@
     }
 
     async fn request_speed(&self, path: &str) {
-        self.metrics.speed_questions.inc();
+        self.metrics.speed_requests.inc();
         self.gate.borrow_mut().on_speed_requested(steady_us());
         match self.pool.machine_load(path).await {
             MachineAnswer::Load { load, cold_ms } => {
--- a/valetrack/src/metric.rs
+++ b/valetrack/src/metric.rs
@@ -69,7 +69,7 @@
     /// Probes sent.
     pub probes: IntCounter,
     /// Speed requests that were sent to the upstream's machine.
-    pub speed_questions: IntCounter,
+    pub speed_requests: IntCounter,
     /// Requests to the node that is followed instead of the store.
     pub relay_requests: IntCounter,
     /// Calls to the store, by kind.
@@ -192,7 +192,7 @@
                 "valetrack_relay_questions_total",
                 "Requests to the node that is followed instead of the store.",
             ),
-            speed_questions: counter("valetrack_speed_questions_total", "Speed requests to the upstream's machine."),
+            speed_requests: counter("valetrack_speed_questions_total", "Speed requests to the upstream's machine."),
             store_calls: counters("valetrack_store_calls_total", "Calls to the store, by kind.", "kind"),
             store_failures: counters(
                 "valetrack_store_failures_total",
