--- a/valetrack/src/metric.rs
+++ b/valetrack/src/metric.rs
@@ -22,7 +22,7 @@
     /// Attempts sent, by service and cause.
     pub sends: IntCounterVec,
     /// Retries that were not sent because the retry budget was used up, by service and cause.
-    pub repeats_refused: IntCounterVec,
+    pub retries_refused: IntCounterVec,
     /// Calls that retried runs of this node's upstream have made, by service. A call that was made by a retried run only
     /// with some probability counts as that fraction.
     pub nested_repeats: CounterVec,
@@ -131,7 +131,7 @@
             call_seconds,
             attempts: counters("valetrack_attempts_total", "Attempts, by result.", "result"),
             sends: counters_by("valetrack_sends_total", "Attempts sent, by service and cause.", &["service", "cause"]),
-            repeats_refused: counters_by(
+            retries_refused: counters_by(
                 "valetrack_repeats_refused_total",
                 "Retries not sent because the retry budget was used up.",
                 &["service", "cause"],
--- a/valetrack/src/placement/run.rs
+++ b/valetrack/src/placement/run.rs
@@ -240,7 +240,7 @@
         let ServiceState { view, budgets, .. } = services.get_mut(service)?;
         let decided = decision(&mut CallContext { view, budgets, rng, now_us: now_us(), next_seq });
         for (cause, count) in budgets.refused.drain() {
-            self.metrics.repeats_refused.with_label_values(&[service, cause.as_str()]).inc_by(count);
+            self.metrics.retries_refused.with_label_values(&[service, cause.as_str()]).inc_by(count);
         }
         Some(decided)
     }
