--- a/valetrack/src/crash/history.rs
+++ b/valetrack/src/crash/history.rs
@@ -173,10 +173,10 @@
             );
         }
         refs.sort();
-        self.standing_of(refs)
+        self.status_of(refs)
     }
 
-    fn standing_of(&self, refs: Vec<SuspectRef>) -> CallStatus {
+    fn status_of(&self, refs: Vec<SuspectRef>) -> CallStatus {
         let mut status = CallStatus { since_us: u64::MAX, ..CallStatus::default() };
         for suspect_ref in &refs {
             let Some(record) = self.records.get(&suspect_ref.crash) else {
