--- a/valetrack/src/clock.rs
+++ b/valetrack/src/clock.rs
@@ -2,8 +2,8 @@
 //!
 //! There are three clocks, which differ when a VM is suspended: the steady clock (`CLOCK_MONOTONIC`, and all timers of
 //! the runtime) is paused, `CLOCK_BOOTTIME` continues, and the wall clock continues and may jump. Times that are shared
-//! with other nodes (leases, deadlines, the age of updates) use [`now_us`]. Times of things that are paused with the VM,
-//! such as its upstream, use [`steady_us`]. `docs/INVARIANTS.md` has a row for each.
+//! with other nodes (leases, deadlines, the age of updates) use [`now_us`]. Times of things that are paused with the
+//! VM, such as its upstream, use [`steady_us`]. `docs/INVARIANTS.md` has a row for each.
 
 #[cfg(test)]
 mod tests;
@@ -15,8 +15,8 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Minimum growth of the difference between both clocks that counts as a suspension: a thread that is short of processor
-/// time takes some tens of milliseconds to read one after the other.
+/// Minimum growth of the difference between both clocks that counts as a suspension: a thread that is short of
+/// processor time takes some tens of milliseconds to read one after the other.
 const SUSPENSION_MIN_US: u64 = 150_000;
 
 /// Time by which simulated suspensions have advanced [`now_us`].
--- a/valetrack/src/crash/archive.rs
+++ b/valetrack/src/crash/archive.rs
@@ -102,8 +102,8 @@
             let CommitOutcome::At(at) = self.0.commit(&write).await? else {
                 return Ok(false);
             };
-            // After a store rollback in between, another value may have been stored at that revision. The caller reads it
-            // again and merges it.
+            // After a store rollback in between, another value may have been stored at that revision. The caller reads
+            // it again and merges it.
             Ok(expected.is_none_or(|expected| expected.era() == at.era()))
         })
     }
--- a/valetrack/src/crash/detect.rs
+++ b/valetrack/src/crash/detect.rs
@@ -123,8 +123,8 @@
         self.broke_after.is_some_and(|last| self.running.keys().any(|number| *number <= last))
     }
 
-    /// Returns the calls that may have crashed the upstream, after a probe found it down. The result is empty if some of
-    /// its exchanges are still in progress, or if the crash was reported before.
+    /// Returns the calls that may have crashed the upstream, after a probe found it down. The result is empty if some
+    /// of its exchanges are still in progress, or if the crash was reported before.
     pub fn crashed(&mut self, down: Down, now_us: u64) -> Vec<C> {
         if self.down.is_some() || self.has_earlier_exchanges() {
             return Vec::new();
--- a/valetrack/src/crash/fingerprint.rs
+++ b/valetrack/src/crash/fingerprint.rs
@@ -10,7 +10,8 @@
 
 /// Headers that identify the caller: the effect of a request on an upstream depends on its caller.
 const CALLER_HEADERS: &[&str] = &["authorization", "x-api-key"];
-/// Header with the name under which the caller reached the service; the same path under another name is another request.
+/// Header with the name under which the caller reached the service; the same path under another name is another
+/// request.
 const HOST_HEADER: &str = "host";
 
 /// Secret key of fingerprints, which prevents clients from constructing requests that collide.
--- a/valetrack/src/crash/history.rs
+++ b/valetrack/src/crash/history.rs
@@ -11,8 +11,8 @@
 /// suspects as well. After two, few suspects are left, and the third crash identifies the cause, since no two suspects
 /// run on one upstream. The users' platform allows three.
 pub const CRASHES_MAX: usize = 3;
-/// Trials of a call that is kept from upstreams, in total. The users' platform allows three sends of such a call in total; one
-/// is left for a call that was in flight when the third crash was reported.
+/// Trials of a call that is kept from upstreams, in total. The users' platform allows three sends of such a call in
+/// total; one is left for a call that was in flight when the third crash was reported.
 pub const TRIALS_MAX: u8 = 2;
 /// Pause before the first trial and before the second one. A crash makes an upstream unavailable for seconds and costs
 /// the calls that it runs; servers are repaired within minutes or by the next release.
@@ -151,8 +151,8 @@
         self.index.values().flat_map(HashMap::values).map(Vec::len).sum()
     }
 
-    /// Returns the key for the fingerprints of the next report: the key of the earliest crash that has suspects, so that
-    /// a request has the same fingerprint in the whole fleet, or `own` if there is no such crash.
+    /// Returns the key for the fingerprints of the next report: the key of the earliest crash that has suspects, so
+    /// that a request has the same fingerprint in the whole fleet, or `own` if there is no such crash.
     pub fn key_for_report(&self, own: FingerprintKey) -> FingerprintKey {
         self.records.values().find(|record| !record.report.is_over()).map_or(own, |record| record.report.key)
     }
--- a/valetrack/src/crash/quarantine.rs
+++ b/valetrack/src/crash/quarantine.rs
@@ -19,8 +19,9 @@
 use crate::link::message::CallHead;
 use crate::metric::Metrics;
 
-/// Maximum time for which the callers of a crashed upstream wait until other nodes have received the report: a few round
-/// trips between failure domains and a handshake. A retry that overtakes the report would run beside other suspects.
+/// Maximum time for which the callers of a crashed upstream wait until other nodes have received the report: a few
+/// round trips between failure domains and a handshake. A retry that overtakes the report would run beside other
+/// suspects.
 const REPORT_WAIT_MS: u64 = 30;
 
 /// Maximum time for which a call waits until its trial is counted: many times the latency of a working store. A trial
@@ -75,8 +76,8 @@
         true
     }
 
-    /// Returns whether an owner may send a call to its upstream. If a trial is due, it waits until the trial is counted in
-    /// the store, for at most [`TRIAL_WAIT_MS`].
+    /// Returns whether an owner may send a call to its upstream. If a trial is due, it waits until the trial is counted
+    /// in the store, for at most [`TRIAL_WAIT_MS`].
     pub async fn admit(&self, head: &CallHead, body: &[u8]) -> Admission {
         let Some(status) = self.suspect_status(head, body) else {
             return Admission::Clear;
@@ -114,7 +115,8 @@
         true
     }
 
-    /// Requests a trial of a call from the crash thread; returns whether it was counted, which is true on one node only.
+    /// Requests a trial of a call from the crash thread; returns whether it was counted, which is true on one node
+    /// only.
     async fn count_trial(&self, suspect_ref: &SuspectRef) -> bool {
         if self.counting.replace(true) {
             return false;
--- a/valetrack/src/crash/tests/world.rs
+++ b/valetrack/src/crash/tests/world.rs
@@ -1,7 +1,7 @@
 //! Simulation of a fleet in virtual time: one service, several upstreams, calls that crash them and calls that don't.
 //!
-//! It covers only the decisions of owners and entries: the status of a call, which calls run beside each other, and which
-//! are refused. Reports reach other nodes after a delay.
+//! It covers only the decisions of owners and entries: the status of a call, which calls run beside each other, and
+//! which are refused. Reports reach other nodes after a delay.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -292,7 +292,7 @@
 #[test_case(Scenario { cause: Cause::Itself(1_000), ..USUAL }; "an upstream that crashes after each second of uptime")]
 #[test_case(Scenario { cause: Cause::Itself(200), upstreams: 1, ..USUAL }; "the only upstream crashes after a fifth of a second")]
 #[test_case(Scenario { cause: Cause::Itself(1_000), kinds: 3, ..USUAL }; "one crashing upstream and few requests that are sent often")]
-#[test_case(Scenario { cause: Cause::Itself(1_000), kinds: 3, body: LONG, ..USUAL }; "one crashing upstream and long bodies")]
+#[test_case(Scenario { cause: Cause::Itself(1_000), kinds: 3, body: LONG, ..USUAL }; "own crashes and long bodies")]
 #[test_case(Scenario { cause: Cause::PowerLoss(6), ..USUAL }; "power failures")]
 #[test_case(Scenario { cause: Cause::PowerLoss(6), kinds: 3, calls_per_s: 300, ..USUAL }; "power failures with few requests that are sent often")]
 fn harmless_calls_are_never_refused(scenario: Scenario) {
--- a/valetrack/src/metric.rs
+++ b/valetrack/src/metric.rs
@@ -23,8 +23,8 @@
     pub sends: IntCounterVec,
     /// Retries that were not sent because the retry budget was used up, by service and cause.
     pub retries_refused: IntCounterVec,
-    /// Calls that retried runs of this node's upstream have made, by service. A call that was made by a retried run only
-    /// with some probability counts as that fraction.
+    /// Calls that retried runs of this node's upstream have made, by service. A call that was made by a retried run
+    /// only with some probability counts as that fraction.
     pub nested_repeats: CounterVec,
     /// Retries that this node may still send now, by service.
     pub repeats_left: GaugeVec,
--- a/valetrack/src/timeline/message.rs
+++ b/valetrack/src/timeline/message.rs
@@ -75,7 +75,8 @@
     }
 }
 
-/// Displays a value of a pair, in quotes if it is empty or holds white space, control characters, quotes or backslashes.
+/// Displays a value of a pair, in quotes if it is empty or holds white space, control characters, quotes or
+/// backslashes.
 pub struct Quoted<'a>(pub &'a str);
 
 impl fmt::Display for Quoted<'_> {
--- a/valetrack/src/timeline/mod.rs
+++ b/valetrack/src/timeline/mod.rs
@@ -1,7 +1,7 @@
 //! The timeline: events of all processes in causal order.
 //!
-//! Contract: the stamps of a process only grow. A message carries its sender's stamp, and the receiver's clock advances to
-//! it, so an event is never ordered before its cause, even if the wall clocks of the VMs differ.
+//! Contract: the stamps of a process only grow. A message carries its sender's stamp, and the receiver's clock advances
+//! to it, so an event is never ordered before its cause, even if the wall clocks of the VMs differ.
 
 pub mod log;
 mod message;
--- a/valetrack/src/timeline/sink.rs
+++ b/valetrack/src/timeline/sink.rs
@@ -1,7 +1,7 @@
 //! Writes log lines to standard output through a bounded queue and a writer thread.
 //!
-//! A thread that logs never waits. If the reader of standard output is too slow, lines are dropped and counted. Lines of
-//! ordinary events are dropped long before those of failures.
+//! A thread that logs never waits. If the reader of standard output is too slow, lines are dropped and counted. Lines
+//! of ordinary events are dropped long before those of failures.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 
 /// Capacity of the queue: some 300 KB, which is a fraction of a node's memory on a small VM.
 const QUEUE_LINES: usize = 2_048;
-/// Time for which lines are collected before they are written together: each wake-up and write costs processor time, and
-/// a killed process loses the lines of at most this time.
+/// Time for which lines are collected before they are written together: each wake-up and write costs processor time,
+/// and a killed process loses the lines of at most this time.
 const GATHER_MS: u64 = 20;
 /// Maximum number of lines that are written together.
 const BATCH_LINES: usize = 512;
@@ -72,8 +72,8 @@
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Closes the queue and waits until the remaining lines are written. The wait is limited, since the reader of standard
-    /// output may have stopped reading.
+    /// Closes the queue and waits until the remaining lines are written. The wait is limited, since the reader of
+    /// standard output may have stopped reading.
     pub fn finish(&self) {
         self.lines.close();
         let until = Instant::now() + Duration::from_millis(FINISH_TIMEOUT_MS);
--- a/valetrack/src/timeline/state.rs
+++ b/valetrack/src/timeline/state.rs
@@ -45,8 +45,8 @@
     hlc >> COUNTER_BITS
 }
 
-/// Orders the events of several nodes, with each cause before its effect, and drops duplicates. If `call` is given, only
-/// its events are returned.
+/// Orders the events of several nodes, with each cause before its effect, and drops duplicates. If `call` is given,
+/// only its events are returned.
 pub fn merge(mut events: Vec<Event>, call: Option<&str>) -> Vec<Event> {
     if let Some(call) = call {
         events.retain(|event| event.call.as_deref() == Some(call));
