--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -10,7 +10,7 @@
 use standin::{bench, crash, list, load, overload, rollback, server, slope, store};
 
 #[global_allocator]
-static ALLOCATOR: slope::Counting = slope::Counting;
+static ALLOCATOR: slope::CountingAllocator = slope::CountingAllocator;
 
 const HELP: &str = "standin: stand-ins of the platform and of servers, and the load tool
 
--- a/standin/src/slope.rs
+++ b/standin/src/slope.rs
@@ -16,13 +16,13 @@
 };
 
 /// The system's allocator with counters of the allocated bytes and of the allocations.
-pub struct Counting;
+pub struct CountingAllocator;
 
 static BYTES: AtomicU64 = AtomicU64::new(0);
 static COUNT: AtomicU64 = AtomicU64::new(0);
 
 // SAFETY: every call is passed unchanged to the system's allocator.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         BYTES.fetch_add(layout.size() as u64, Ordering::Relaxed);
         COUNT.fetch_add(1, Ordering::Relaxed);
--- a/standin/tests/steady_state.rs
+++ b/standin/tests/steady_state.rs
@@ -1,13 +1,13 @@
 //! Checks by a counting allocator that placement decisions don't allocate in steady state.
 
-use standin::slope::{Counting, allocations};
+use standin::slope::{CountingAllocator, allocations};
 use valetrack::gate::LoadReport;
 use valetrack::placement::{
     Budgets, Call, CallContext, CallEvent, CallRule, Policy, RetryBudget, ServerSet, ServiceView,
 };
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[test]
 fn pick_and_call_allocate_nothing() {
