--- a/standin/src/crash/fleet.rs
+++ b/standin/src/crash/fleet.rs
@@ -10,7 +10,7 @@
 use valetrack::gate::{AttemptId, QueueTimeout};
 use valetrack::link::message::CallHead;
 
-use super::way::SpreadMethod;
+use super::spread_method::SpreadMethod;
 
 /// Number of upstreams of the service.
 const OWNERS: usize = 10;
--- a/standin/src/crash/mod.rs
+++ b/standin/src/crash/mod.rs
@@ -2,12 +2,12 @@
 //! decisions: the number of crashes, the time until all nodes have the reports, and the bytes that the reports cost.
 
 mod fleet;
+mod spread_method;
 #[cfg(test)]
 mod tests;
-mod way;
 
 pub use fleet::{Outcome, Scenario, simulate};
-pub use way::SpreadMethod;
+pub use spread_method::SpreadMethod;
 
 /// Compared sizes of fleets, in nodes.
 const SIZES: [usize; 3] = [30, 195, 1_000];
