--- a/standin/src/bench/mod.rs
+++ b/standin/src/bench/mod.rs
@@ -5,15 +5,15 @@
 mod report;
 mod scenario;
 mod server;
+mod simulation;
 #[cfg(test)]
 mod tests;
-mod world;
 
 use std::path::PathBuf;
 
 pub use report::Row;
 pub use scenario::{Candidate, SCENARIOS, Scenario, candidates};
-pub use world::run as run_one;
+pub use simulation::run as run_one;
 
 /// Settings of the bench.
 #[derive(Debug, Clone)]
--- a/standin/src/overload/mod.rs
+++ b/standin/src/overload/mod.rs
@@ -7,14 +7,14 @@
 
 mod fleet;
 mod report;
+mod simulation;
 #[cfg(test)]
 mod tests;
 mod upstream;
-mod world;
 
 pub use fleet::{Fleet, LARGE, LOADS, Load, ROUNDS, ROUNDS_LOADS, RouteShape, ServiceShape};
 pub use report::{Report, Window};
-pub use world::run;
+pub use simulation::run;
 
 /// Runs every load on its fleet and prints the outcomes of the callers.
 pub fn print(seconds: u64, seed: u64, only: &str) {
