--- a/standin/src/overload/simulation/owner.rs
+++ b/standin/src/overload/simulation/owner.rs
@@ -155,8 +155,8 @@
             self.reply(vm, attempt, CallEvent::Failed { attempt, code: Code::ServerFailed }, 0);
             self.schedule_after(0, Event::Freed { vm, attempt });
         }
-        let back_us = self.vms[vm].upstream.down_until_us();
-        self.queue.schedule(back_us, Event::Restart { vm });
+        let restart_us = self.vms[vm].upstream.down_until_us();
+        self.queue.schedule(restart_us, Event::Restart { vm });
     }
 
     /// Restarts a crashed upstream, which registers with its gate.
--- a/standin/src/rollback/tests.rs
+++ b/standin/src/rollback/tests.rs
@@ -7,7 +7,7 @@
 const SMALL: Rates = Rates { writes_per_s: 400, reads_per_s: 2_000 };
 const LARGE: Rates = Rates { writes_per_s: 3_200, reads_per_s: 16_000 };
 /// Time within which missing entries have to be restored.
-const RESTORED_MS: u64 = 2_000;
+const RESTORE_MAX_MS: u64 = 2_000;
 
 #[test_case(30, SMALL, Lost::Latest)]
 #[test_case(30, SMALL, Lost::Leases)]
@@ -18,8 +18,8 @@
 fn relays_keep_restores_entries_without_declaring_nodes_dead(nodes: usize, rates: Rates, lost: Lost) {
     for seed in 0..10 {
         let outcome = simulate(Scenario { seed, nodes, rates, lost, method: RecoveryMethod::RelaysKeep });
-        assert!(outcome.restored_ms <= RESTORED_MS, "seed {seed}: {outcome:?}");
-        assert!(outcome.all_read_ms > 0 && outcome.all_read_ms <= RESTORED_MS + 500, "seed {seed}: {outcome:?}");
+        assert!(outcome.restored_ms <= RESTORE_MAX_MS, "seed {seed}: {outcome:?}");
+        assert!(outcome.all_read_ms > 0 && outcome.all_read_ms <= RESTORE_MAX_MS + 500, "seed {seed}: {outcome:?}");
         assert_eq!(outcome.declared_dead, 0, "seed {seed}: {outcome:?}");
     }
 }
