--- a/standin/src/slope.rs
+++ b/standin/src/slope.rs
@@ -9,7 +9,7 @@
 use valetrack::claim::{ClaimReport, KeptAnswer, KeyDigest, Page, PageEntry, Record};
 use valetrack::gate::{AttemptId, Gate, GateConfig, GateEvent, LoadReport, QueueTimeout};
 use valetrack::link::codec::pack;
-use valetrack::link::message::{Ask, Reply, ReplyHead, Riding};
+use valetrack::link::message::{Ask, Piggyback, Reply, ReplyHead};
 use valetrack::member::{Evacuation, ListedVm, Member, Members, Phase};
 use valetrack::placement::{
     Budgets, Call, CallAction, CallContext, CallEvent, CallRule, Policy, RetryBudget, ServerSet, ServiceView,
@@ -156,7 +156,7 @@
 
 fn piggybacked_report() {
     let load = LoadReport { limit: 12, in_flight: 9, queued: 3, service_us: 4_000, ..LoadReport::default() };
-    let reply = ReplyHead { reply: Reply::Load, riding: Riding { load, bundle: 21_000, hlc: 1 << 56 } };
+    let reply = ReplyHead { reply: Reply::Load, riding: Piggyback { load, bundle: 21_000, hlc: 1 << 56 } };
     let bytes = pack(&reply).map_or(0, |frame| frame.len());
     row("report piggybacked on a reply", 1, bytes, &cost(2_000, || pack(&reply)));
 }
--- a/valetrack/benches/decision.rs
+++ b/valetrack/benches/decision.rs
@@ -7,7 +7,7 @@
 use valetrack::crash::{CrashHistory, CrashId, CrashReport, FingerprintKey, RecentAnswers, Suspect};
 use valetrack::gate::{AttemptId, Gate, GateConfig, GateEvent, LoadReport, QueueTimeout};
 use valetrack::link::codec::{pack, unpack};
-use valetrack::link::message::{CallHead, Reply, ReplyHead, Riding};
+use valetrack::link::message::{CallHead, Piggyback, Reply, ReplyHead};
 use valetrack::placement::{Demand, Policy, RetryBudget, ServerSet, ServiceView};
 
 /// Creates a view with a load report from each server.
@@ -76,7 +76,7 @@
 }
 
 fn codec(c: &mut Criterion) {
-    let riding = Riding { load: LoadReport::default(), bundle: 21_000, hlc: 1 << 56 };
+    let riding = Piggyback { load: LoadReport::default(), bundle: 21_000, hlc: 1 << 56 };
     let head = ReplyHead { reply: Reply::Load, riding };
     let frame = pack(&head).expect("a small head");
     c.bench_function("pack a reply", |b| b.iter(|| pack(&head)));
--- a/valetrack/src/link/message.rs
+++ b/valetrack/src/link/message.rs
@@ -99,7 +99,7 @@
 
 /// State that the sender attaches to every reply, which saves separate messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Riding {
+pub struct Piggyback {
     /// Load of the sender's server.
     pub load: LoadReport,
     /// Number of the bundle in force at the sender.
@@ -249,7 +249,7 @@
     /// The reply.
     pub reply: Reply,
     /// State attached by the sender.
-    pub riding: Riding,
+    pub riding: Piggyback,
 }
 
 /// A request with its body.
--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use super::codec;
-use super::message::{AnswerHead, Answered, Ask, CallHead, Question, Reply, ReplyHead, Riding};
+use super::message::{AnswerHead, Answered, Ask, CallHead, Piggyback, Question, Reply, ReplyHead};
 use super::peer::{FRAME_MAX_BYTES, LinkJob, LinkResult, Peers};
 use super::tls::LinkTls;
 use crate::bundle::{InForce, ServiceRule};
@@ -387,9 +387,9 @@
         }
     }
 
-    fn piggyback(&self) -> Riding {
+    fn piggyback(&self) -> Piggyback {
         let bundle = self.parts.bundle.borrow().as_ref().map_or(0, |bundle| bundle.number);
-        Riding { load: self.gate.load(), bundle, hlc: events::stamp() }
+        Piggyback { load: self.gate.load(), bundle, hlc: events::stamp() }
     }
 
     async fn follow_bundle(self: Rc<Self>) {
--- a/valetrack/src/link/tests.rs
+++ b/valetrack/src/link/tests.rs
@@ -8,7 +8,7 @@
 use test_case::test_case;
 
 use super::codec::{FrameError, LENGTH_BYTES, pack, unpack};
-use super::message::{Answered, Ask, CallHead, HEAD_MAX_BYTES, Reply, ReplyHead, Riding};
+use super::message::{Answered, Ask, CallHead, HEAD_MAX_BYTES, Piggyback, Reply, ReplyHead};
 use super::peer::LinkResult;
 use super::{run, tls};
 use crate::gate::{AttemptId, CancelResult, LoadReport, QueueTimeout};
@@ -120,7 +120,7 @@
         failing_percent: 3,
         ..LoadReport::default()
     };
-    let riding = Riding { load, bundle: 21_000, hlc: 117_716_773_567_922_176 };
+    let riding = Piggyback { load, bundle: 21_000, hlc: 117_716_773_567_922_176 };
     let reply = ReplyHead { reply: Reply::Load, riding };
     let frame = pack(&reply).expect("a small head");
     assert!(frame.len() <= 28, "{} bytes", frame.len());
@@ -211,7 +211,7 @@
             };
             let up_ms = (elapsed_us(started_s, &owner) / 1000) as u32;
             let reply = Reply::Cancelled { attempt: AttemptId { entry: 1, seq: 2 }, result: CancelResult::NeverStarted, up_ms };
-            let head = ReplyHead { reply, riding: Riding { load: LoadReport::default(), bundle: 0, hlc: 0 } };
+            let head = ReplyHead { reply, riding: Piggyback { load: LoadReport::default(), bundle: 0, hlc: 0 } };
             let result = LinkResult::Reply(Box::new(Answered { head, body: Bytes::new() }));
             result.cancel_result(Duration::from_micros(elapsed_us(sent_s, &entry))).is_some()
         };
