--- a/valetrack/src/caller/keyed.rs
+++ b/valetrack/src/caller/keyed.rs
@@ -17,7 +17,7 @@
 use crate::clock::Moment;
 use crate::code::Code;
 use crate::gate::AttemptId;
-use crate::link::message::{Answered, Ask, CallHead, Question, Reply};
+use crate::link::message::{Answered, Ask, CallHead, PeerRequest, Reply};
 use crate::link::peer::{LinkResult, Target};
 use crate::member::{Candidate, Members};
 use crate::placement::run::Placer;
@@ -147,7 +147,7 @@
         let left = deadline.left();
         let attempt = self.placer.next_attempt();
         let head = CallHead { attempt, deadline_ms: left.as_millis() as u32, hlc: events::stamp(), ..head.clone() };
-        let request = Question { ask: Ask::RunKeyed(head), body: body.clone() };
+        let request = PeerRequest { ask: Ask::RunKeyed(head), body: body.clone() };
         let limit = left + Duration::from_millis(REPLY_SLACK_MS);
         match self.placer.ask(target.clone(), request, limit).await {
             LinkResult::Reply(answered) => result_of(attempt, *answered),
--- a/valetrack/src/crash/run.rs
+++ b/valetrack/src/crash/run.rs
@@ -20,7 +20,7 @@
 use crate::bundle::InForce;
 use crate::clock::now_us;
 use crate::jobs::Duties;
-use crate::link::message::{Ask, Question};
+use crate::link::message::{Ask, PeerRequest};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::member::{Members, Phase};
 use crate::metric::Metrics;
@@ -271,7 +271,7 @@
     async fn send(&self, target: &Target, reports: &[CrashReport]) -> bool {
         for chunk in reports.chunks(REPORTS_PER_MESSAGE_MAX) {
             let ask = Ask::Crashes { from: self.parts.vm.clone(), reports: chunk.to_vec() };
-            let request = Question { ask, body: Bytes::new() };
+            let request = PeerRequest { ask, body: Bytes::new() };
             let limit = Duration::from_millis(SEND_TIMEOUT_MS);
             let result = peer::ask_within(&self.parts.to_link, target.clone(), request, limit).await;
             if !matches!(result, LinkResult::Reply(_)) {
--- a/valetrack/src/link/message.rs
+++ b/valetrack/src/link/message.rs
@@ -254,7 +254,7 @@
 
 /// A request with its body.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct PeerRequest {
     /// Head of the request.
     pub ask: Ask,
     /// Body; empty if the request has none.
--- a/valetrack/src/link/peer.rs
+++ b/valetrack/src/link/peer.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::codec::{self, FrameError};
-use super::message::{Answered, BODY_MAX_BYTES, HEAD_MAX_BYTES, Question, Reply, ReplyHead};
+use super::message::{Answered, BODY_MAX_BYTES, HEAD_MAX_BYTES, PeerRequest, Reply, ReplyHead};
 use crate::clock::{Moment, SuspensionWatch, now_us, suspended_us};
 use crate::gate::CancelResult;
 
@@ -78,7 +78,7 @@
     /// Node that the request is sent to.
     pub target: Target,
     /// The request.
-    pub request: Question,
+    pub request: PeerRequest,
     /// Timeout of the reply.
     pub limit: Duration,
     /// Receives the result.
@@ -86,7 +86,7 @@
 }
 
 /// Sends a request to another node through the ring of the link thread and waits for the result.
-pub async fn ask(ring: &Sender<LinkJob>, target: Target, request: Question, limit: Duration) -> LinkResult {
+pub async fn ask(ring: &Sender<LinkJob>, target: Target, request: PeerRequest, limit: Duration) -> LinkResult {
     let (reply, result) = oneshot::channel();
     if ring.send(LinkJob { target, request, limit, reply }).await.is_err() {
         return LinkResult::Unsent;
@@ -96,7 +96,7 @@
 
 /// Sends a request like [`ask`], with `limit` as the timeout of the whole operation. In [`ask`] the time of a handshake
 /// is added to the limit.
-pub async fn ask_within(ring: &Sender<LinkJob>, target: Target, request: Question, limit: Duration) -> LinkResult {
+pub async fn ask_within(ring: &Sender<LinkJob>, target: Target, request: PeerRequest, limit: Duration) -> LinkResult {
     timeout(limit, ask(ring, target, request, limit)).await.unwrap_or(LinkResult::Broken)
 }
 
@@ -147,7 +147,7 @@
     }
 
     /// Sends a request and waits for the reply for at most `limit`.
-    pub async fn ask(&self, target: &Target, request: Question, limit: Duration) -> LinkResult {
+    pub async fn ask(&self, target: &Target, request: PeerRequest, limit: Duration) -> LinkResult {
         let Ok(head) = codec::pack(&request.ask) else {
             return LinkResult::Unsent;
         };
--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use super::codec;
-use super::message::{AnswerHead, Answered, Ask, CallHead, Piggyback, Question, Reply, ReplyHead};
+use super::message::{AnswerHead, Answered, Ask, CallHead, PeerRequest, Piggyback, Reply, ReplyHead};
 use super::peer::{FRAME_MAX_BYTES, LinkJob, LinkResult, Peers};
 use super::tls::LinkTls;
 use crate::bundle::{InForce, ServiceRule};
@@ -249,7 +249,7 @@
             return;
         }
         let request = match codec::unpack::<Ask>(Bytes::from(frame)) {
-            Ok((ask, body)) => Question { ask, body },
+            Ok((ask, body)) => PeerRequest { ask, body },
             Err(error) => {
                 self.parts.metrics.bad_frames.inc();
                 log::info!("event=link.frame_invalid code={} reason=\"{error}\"", error.code());
@@ -272,8 +272,8 @@
         }
     }
 
-    async fn serve(&self, request: Question) -> Answered {
-        let Question { ask, body } = request;
+    async fn serve(&self, request: PeerRequest) -> Answered {
+        let PeerRequest { ask, body } = request;
         let (reply, body) = match ask {
             Ask::Run(head) => self.run_call(head, body).await,
             Ask::RunKeyed(head) => self.run_keyed(head, body).await,
--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -35,7 +35,7 @@
 use crate::crash::CrashJob;
 use crate::gate::{UpstreamPhase, UpstreamState};
 use crate::jobs::Duties;
-use crate::link::message::{Ask, Question, Reply};
+use crate::link::message::{Ask, PeerRequest, Reply};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::metric::Metrics;
 use crate::rollout::{RolloutFormat, RolloutRegistry};
@@ -275,7 +275,7 @@
         if self.fetching_evacuation.replace(true) {
             return;
         }
-        let request = Question { ask: Ask::Evacuation, body: Bytes::new() };
+        let request = PeerRequest { ask: Ask::Evacuation, body: Bytes::new() };
         if let LinkResult::Reply(answered) = self.request(from, request).await
             && let Reply::Evacuation(received) = answered.head.reply
         {
@@ -294,7 +294,7 @@
             claims: ClaimReport::default(),
         };
         // A lost request is harmless: the peer's next reply shows again that it lacks the bundle.
-        let _ = self.request(peer.clone(), Question { ask, body: Bytes::new() }).await;
+        let _ = self.request(peer.clone(), PeerRequest { ask, body: Bytes::new() }).await;
         // The peer cannot read crash reports from the store either. A full channel is harmless for the same reason.
         let _ = self.parts.to_crash.try_send(CrashJob::SendReports { target: peer });
     }
@@ -317,7 +317,7 @@
 
     /// Fetches the bundle in force at another node.
     async fn fetch_bundle(&self, from: Target) {
-        let request = Question { ask: Ask::Bundle, body: Bytes::new() };
+        let request = PeerRequest { ask: Ask::Bundle, body: Bytes::new() };
         if let LinkResult::Reply(answered) = self.request(from, request).await
             && let Reply::Bundle { number, version } = answered.head.reply
         {
@@ -325,7 +325,7 @@
         }
     }
 
-    async fn request(&self, target: Target, request: Question) -> LinkResult {
+    async fn request(&self, target: Target, request: PeerRequest) -> LinkResult {
         peer::ask(&self.parts.to_link, target, request, Duration::from_millis(REQUEST_MS)).await
     }
 
--- a/valetrack/src/member/leased/older.rs
+++ b/valetrack/src/member/leased/older.rs
@@ -12,7 +12,7 @@
 use crate::bundle::version_of;
 use crate::clock::now_us;
 use crate::crash::CrashJob;
-use crate::link::message::{Ask, Question, Reply};
+use crate::link::message::{Ask, PeerRequest, Reply};
 use crate::link::peer::{LinkResult, Target};
 use crate::member::{ENTRY_PREFIX, EntryDoc, Evacuation};
 use crate::store::{Era, Item, Position};
@@ -91,7 +91,7 @@
     }
 
     async fn query_peer(self: Rc<Self>, peer: Target) {
-        let request = Question { ask: Ask::Evacuation, body: Bytes::new() };
+        let request = PeerRequest { ask: Ask::Evacuation, body: Bytes::new() };
         let LinkResult::Reply(answered) = self.request(peer.clone(), request).await else {
             return;
         };
--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -11,7 +11,7 @@
 use super::follow::CATCH_UP_WAIT;
 use crate::clock::now_us;
 use crate::link::codec;
-use crate::link::message::{Ask, Question, Reply};
+use crate::link::message::{Ask, PeerRequest, Reply};
 use crate::link::peer::{self, LinkResult, Target};
 use crate::member::relay::{ApplyOutcome, StoreUpdate};
 use crate::member::role::AvoidReason;
@@ -170,7 +170,7 @@
         };
         let me = self.me.borrow().clone();
         let ask = Ask::Follow { after, wait_ms: wait_ms as u32, me };
-        let request = Question { ask, body: Bytes::new() };
+        let request = PeerRequest { ask, body: Bytes::new() };
         // A relay that many nodes start to follow at once takes longer for its first replies.
         let slack_ms = if self.relay_update_us.get().is_none() { FIRST_SLACK_MS } else { FOLLOW_SLACK_MS };
         let limit = Duration::from_millis(wait_ms + slack_ms);
@@ -204,7 +204,7 @@
         let me = Member { phase: Phase::Gone, ..self.me.borrow().clone() };
         let ask = Ask::Follow { after: self.log.borrow().position(), wait_ms: 0, me };
         // Without a reply, the relay removes the entry once this node has sent no request for a while.
-        let _ = self.request(relay, Question { ask, body: Bytes::new() }).await;
+        let _ = self.request(relay, PeerRequest { ask, body: Bytes::new() }).await;
     }
 
     /// Applies the update that a relay has sent for a position.
--- a/valetrack/src/member/leased/rollout.rs
+++ b/valetrack/src/member/leased/rollout.rs
@@ -11,7 +11,7 @@
 use super::Shell;
 use crate::clock::now_us;
 use crate::code::Code;
-use crate::link::message::{Ask, Question, Reply};
+use crate::link::message::{Ask, PeerRequest, Reply};
 use crate::link::peer::{LinkResult, Target};
 use crate::member::{Member, Phase};
 use crate::rollout::{
@@ -199,7 +199,7 @@
         let queries = owners.iter().take(limit).map(|member| {
             let target = Target { vm: member.vm.clone(), addr: member.link_addr };
             async move {
-                let request = Question { ask: Ask::Runs, body: Bytes::new() };
+                let request = PeerRequest { ask: Ask::Runs, body: Bytes::new() };
                 let LinkResult::Reply(answered) = self.request(target.clone(), request).await else {
                     return None;
                 };
--- a/valetrack/src/member/leased/wake.rs
+++ b/valetrack/src/member/leased/wake.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use super::Shell;
-use crate::link::message::{Ask, Question};
+use crate::link::message::{Ask, PeerRequest};
 use crate::link::peer::{LinkResult, Target};
 
 /// Pause between two probes: each node of a domain of twenty is then probed about once a second by one of the others.
@@ -32,7 +32,7 @@
     }
 
     async fn probe_peer(self: &Rc<Self>, peer: Target) {
-        let request = Question { ask: Ask::Probe, body: Bytes::new() };
+        let request = PeerRequest { ask: Ask::Probe, body: Bytes::new() };
         if let LinkResult::Reply(answered) = self.request(peer.clone(), request).await
             && answered.head.riding.bundle == 0
             && self.adopter.number() > 0
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -18,7 +18,7 @@
 use crate::claim::{ClaimReport, ClaimState, PeerReport};
 use crate::clock::now_us;
 use crate::jobs::Duties;
-use crate::link::message::{Ask, Question, Reply};
+use crate::link::message::{Ask, PeerRequest, Reply};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::timeline::log as events;
 
@@ -170,7 +170,7 @@
         }
         let shell = self.clone();
         tokio::task::spawn_local(async move {
-            let request = Question { ask: Ask::Bundle, body: Bytes::new() };
+            let request = PeerRequest { ask: Ask::Bundle, body: Bytes::new() };
             if let LinkResult::Reply(answered) = shell.request(from, request).await
                 && let Reply::Bundle { number, version } = answered.head.reply
             {
@@ -179,7 +179,7 @@
         });
     }
 
-    async fn request(&self, target: Target, request: Question) -> LinkResult {
+    async fn request(&self, target: Target, request: PeerRequest) -> LinkResult {
         peer::ask(&self.parts.to_link, target, request, Duration::from_millis(EXCHANGE_MS)).await
     }
 
@@ -293,7 +293,7 @@
         let bundle = self.bundler.adopter.number();
         let evacuation = self.members.borrow().evacuation().clone();
         let ask = Ask::Gossip { members: self.digest(), evacuation, bundle, claims: self.claim_report() };
-        let request = Question { ask, body: Bytes::new() };
+        let request = PeerRequest { ask, body: Bytes::new() };
         let asked_us = now_us();
         let LinkResult::Reply(answered) = self.request(target, request).await else {
             return;
--- a/valetrack/src/placement/attempt.rs
+++ b/valetrack/src/placement/attempt.rs
@@ -12,7 +12,7 @@
 use crate::clock::Moment;
 use crate::code::Code;
 use crate::gate::{AttemptId, DeclineReason};
-use crate::link::message::{AnswerHead, Answered, Ask, CallHead, Question, Reply};
+use crate::link::message::{AnswerHead, Answered, Ask, CallHead, PeerRequest, Reply};
 use crate::link::peer::{self, LinkResult};
 use crate::metric::Metrics;
 use crate::timeline::{OrNone, log as events};
@@ -74,7 +74,7 @@
             self.metrics.sends.with_label_values(&[&*service, cause.as_str()]).inc();
             // The stamp is drawn after the log line above, so that events of the owner are ordered after it.
             head.hlc = events::stamp();
-            let question = Question { ask: Ask::Run(head), body };
+            let question = PeerRequest { ask: Ask::Run(head), body };
             let limit = Duration::from_millis(u64::from(left_ms) + REPLY_SLACK_MS);
             let result = self.ask(target, question, limit).await;
             self.apply_piggyback(&service, server, &result);
@@ -104,7 +104,7 @@
             let (Some(target), Some(sent_at)) = (target, sent_at) else {
                 return (CallEvent::CancelResult { attempt, result: None }, None);
             };
-            let question = Question { ask: Ask::Cancel(attempt), body: Bytes::new() };
+            let question = PeerRequest { ask: Ask::Cancel(attempt), body: Bytes::new() };
             let limit = Duration::from_millis(REPLY_LIMIT_MS);
             let result = peer::ask_within(&self.to_link, target, question, limit).await;
             (CallEvent::CancelResult { attempt, result: result.cancel_result(sent_at.elapsed()) }, None)
--- a/valetrack/src/placement/run.rs
+++ b/valetrack/src/placement/run.rs
@@ -29,7 +29,7 @@
 use crate::code::Code;
 use crate::crash::Quarantine;
 use crate::gate::{AttemptId, LoadReport};
-use crate::link::message::{CallHead, Question};
+use crate::link::message::{CallHead, PeerRequest};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::member::{MemberJob, Members};
 use crate::metric::Metrics;
@@ -265,7 +265,7 @@
     }
 
     /// Sends a request to another node through the link thread.
-    pub async fn ask(&self, target: Target, question: Question, limit: Duration) -> LinkResult {
+    pub async fn ask(&self, target: Target, question: PeerRequest, limit: Duration) -> LinkResult {
         peer::ask(&self.to_link, target, question, limit).await
     }
 
--- a/valetrack/src/placement/run/probe.rs
+++ b/valetrack/src/placement/run/probe.rs
@@ -8,7 +8,7 @@
 
 use super::{Placer, REPLY_LIMIT_MS};
 use crate::clock::now_us;
-use crate::link::message::{Ask, Question};
+use crate::link::message::{Ask, PeerRequest};
 use crate::link::peer::LinkResult;
 use crate::placement::message::ServerIndex;
 use crate::placement::service::ServiceState;
@@ -68,7 +68,7 @@
         let Some(target) = self.target(service, server) else {
             return false;
         };
-        let question = Question { ask: Ask::Probe, body: Bytes::new() };
+        let question = PeerRequest { ask: Ask::Probe, body: Bytes::new() };
         let result = self.ask(target, question, Duration::from_millis(REPLY_LIMIT_MS)).await;
         self.apply_piggyback(service, server, &result);
         matches!(result, LinkResult::Reply(_))
--- a/valetrack/src/quota/run.rs
+++ b/valetrack/src/quota/run.rs
@@ -15,7 +15,7 @@
 use super::rank::HomeRanking;
 use crate::bundle::{AccountRule, InForce};
 use crate::clock::{now_us, steady_us};
-use crate::link::message::{Ask, Question, Reply};
+use crate::link::message::{Ask, PeerRequest, Reply};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::member::{Members, Phase};
 use crate::metric::Metrics;
@@ -156,7 +156,7 @@
         }
         self.parts.metrics.quota_requests.inc();
         let ask = Ask::Quota { account: rule.name.clone(), calls, instead_of: instead_of.cloned() };
-        let request = Question { ask, body: Bytes::new() };
+        let request = PeerRequest { ask, body: Bytes::new() };
         let limit = Duration::from_millis(REPLY_TIMEOUT_MS);
         let LinkResult::Reply(answered) = peer::ask_within(&self.parts.to_link, home.clone(), request, limit).await
         else {
@@ -189,7 +189,7 @@
         let Some(addr) = addr else {
             return false;
         };
-        let request = Question { ask: Ask::Evacuation, body: Bytes::new() };
+        let request = PeerRequest { ask: Ask::Evacuation, body: Bytes::new() };
         let target = Target { vm: vm.clone(), addr };
         let limit = Duration::from_millis(REPLY_TIMEOUT_MS / 2);
         let result = peer::ask_within(&self.parts.to_link, target, request, limit).await;
