--- a/valetrack/src/caller/keyed.rs
+++ b/valetrack/src/caller/keyed.rs
@@ -17,7 +17,7 @@
 use crate::clock::Moment;
 use crate::code::Code;
 use crate::gate::AttemptId;
-use crate::link::message::{Answered, Ask, CallHead, PeerRequest, Reply};
+use crate::link::message::{Ask, CallHead, PeerReply, PeerRequest, Reply};
 use crate::link::peer::{LinkResult, Target};
 use crate::member::{Candidate, Members};
 use crate::placement::run::Placer;
@@ -157,7 +157,7 @@
     }
 }
 
-fn result_of(attempt: AttemptId, answered: Answered) -> SubmitResult {
+fn result_of(attempt: AttemptId, answered: PeerReply) -> SubmitResult {
     events::observe(answered.head.riding.hlc);
     match answered.head.reply {
         Reply::Answer(head) if head.attempt == attempt => SubmitResult::Final(Placed::Answer(head, answered.body)),
--- a/valetrack/src/link/message.rs
+++ b/valetrack/src/link/message.rs
@@ -263,7 +263,7 @@
 
 /// A reply with its body.
 #[derive(Debug, Clone)]
-pub struct Answered {
+pub struct PeerReply {
     /// Head of the reply.
     pub head: ReplyHead,
     /// Body; empty if the reply has none.
--- a/valetrack/src/link/peer.rs
+++ b/valetrack/src/link/peer.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::codec::{self, FrameError};
-use super::message::{Answered, BODY_MAX_BYTES, HEAD_MAX_BYTES, PeerRequest, Reply, ReplyHead};
+use super::message::{BODY_MAX_BYTES, HEAD_MAX_BYTES, PeerReply, PeerRequest, Reply, ReplyHead};
 use crate::clock::{Moment, SuspensionWatch, now_us, suspended_us};
 use crate::gate::CancelResult;
 
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub enum LinkResult {
     /// The reply.
-    Reply(Box<Answered>),
+    Reply(Box<PeerReply>),
     /// The request was not sent.
     Unsent,
     /// The request was sent at least in part, and no complete reply was received.
@@ -250,7 +250,7 @@
     }
 }
 
-async fn exchange(connection: &Connection, head: Bytes, body: Bytes) -> Result<Answered, ExchangeError> {
+async fn exchange(connection: &Connection, head: Bytes, body: Bytes) -> Result<PeerReply, ExchangeError> {
     let (send, mut receive) = connection.open_bi().await.map_err(|_| ExchangeError::Unsent)?;
     let mut request = OpenRequest::new(connection, send);
     let mut chunks = [head, body];
@@ -265,7 +265,7 @@
     };
     request.answered = true;
     let (head, body) = codec::unpack::<ReplyHead>(Bytes::from(frame)).map_err(ExchangeError::Frame)?;
-    Ok(Answered { head, body })
+    Ok(PeerReply { head, body })
 }
 
 /// Sends empty datagrams to the peer, and returns after [`SILENT_CHECKS_MAX`] checks in a row have found no new packet
--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use super::codec;
-use super::message::{AnswerHead, Answered, Ask, CallHead, PeerRequest, Piggyback, Reply, ReplyHead};
+use super::message::{AnswerHead, Ask, CallHead, PeerReply, PeerRequest, Piggyback, Reply, ReplyHead};
 use super::peer::{FRAME_MAX_BYTES, LinkJob, LinkResult, Peers};
 use super::tls::LinkTls;
 use crate::bundle::{InForce, ServiceRule};
@@ -272,7 +272,7 @@
         }
     }
 
-    async fn serve(&self, request: PeerRequest) -> Answered {
+    async fn serve(&self, request: PeerRequest) -> PeerReply {
         let PeerRequest { ask, body } = request;
         let (reply, body) = match ask {
             Ask::Run(head) => self.run_call(head, body).await,
@@ -310,7 +310,7 @@
                 (Reply::Load, Bytes::new())
             }
         };
-        Answered { head: ReplyHead { reply, riding: self.piggyback() }, body }
+        PeerReply { head: ReplyHead { reply, riding: self.piggyback() }, body }
     }
 
     async fn run_call(&self, head: CallHead, body: Bytes) -> (Reply, Bytes) {
--- a/valetrack/src/link/tests.rs
+++ b/valetrack/src/link/tests.rs
@@ -8,7 +8,7 @@
 use test_case::test_case;
 
 use super::codec::{FrameError, LENGTH_BYTES, pack, unpack};
-use super::message::{Answered, Ask, CallHead, HEAD_MAX_BYTES, Piggyback, Reply, ReplyHead};
+use super::message::{Ask, CallHead, HEAD_MAX_BYTES, PeerReply, Piggyback, Reply, ReplyHead};
 use super::peer::LinkResult;
 use super::{run, tls};
 use crate::gate::{AttemptId, CancelResult, LoadReport, QueueTimeout};
@@ -212,7 +212,7 @@
             let up_ms = (elapsed_us(started_s, &owner) / 1000) as u32;
             let reply = Reply::Cancelled { attempt: AttemptId { entry: 1, seq: 2 }, result: CancelResult::NeverStarted, up_ms };
             let head = ReplyHead { reply, riding: Piggyback { load: LoadReport::default(), bundle: 0, hlc: 0 } };
-            let result = LinkResult::Reply(Box::new(Answered { head, body: Bytes::new() }));
+            let result = LinkResult::Reply(Box::new(PeerReply { head, body: Bytes::new() }));
             result.cancel_result(Duration::from_micros(elapsed_us(sent_s, &entry))).is_some()
         };
         let was_running = started_s < sent_s;
--- a/valetrack/src/placement/attempt.rs
+++ b/valetrack/src/placement/attempt.rs
@@ -12,7 +12,7 @@
 use crate::clock::Moment;
 use crate::code::Code;
 use crate::gate::{AttemptId, DeclineReason};
-use crate::link::message::{AnswerHead, Answered, Ask, CallHead, PeerRequest, Reply};
+use crate::link::message::{AnswerHead, Ask, CallHead, PeerReply, PeerRequest, Reply};
 use crate::link::peer::{self, LinkResult};
 use crate::metric::Metrics;
 use crate::timeline::{OrNone, log as events};
@@ -136,7 +136,7 @@
         LinkResult::Unsent => return (CallEvent::Unsent { attempt }, None),
         LinkResult::Broken => return (CallEvent::Broken { attempt }, None),
     };
-    let Answered { head, body } = answered;
+    let PeerReply { head, body } = answered;
     match head.reply {
         Reply::Answer(answer) if answer.attempt == attempt => match answer.outcome {
             Outcome::Ran => {
