--- a/valetrack/src/crash/run.rs
+++ b/valetrack/src/crash/run.rs
@@ -19,7 +19,7 @@
 use super::message::{CrashId, CrashJob, CrashReport, CrashedCall, SUSPECTS_MAX, Suspect, SuspectRef};
 use crate::bundle::InForce;
 use crate::clock::now_us;
-use crate::jobs::Duties;
+use crate::jobs::BackgroundTasks;
 use crate::link::message::{Ask, PeerRequest};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::member::{Members, Phase};
@@ -105,7 +105,7 @@
         rng: RefCell::new(fastrand::Rng::with_seed(parts.seed)),
         parts,
     });
-    let mut tasks = Duties::default();
+    let mut tasks = BackgroundTasks::default();
     tasks.spawn(shell.clone().keep_archive());
     if !shell.parts.store_is_followed {
         tasks.spawn(shell.clone().read_at_start());
--- a/valetrack/src/jobs.rs
+++ b/valetrack/src/jobs.rs
@@ -30,11 +30,11 @@
 /// its entry in the store, for example, would look healthy and fail only for its callers. Therefore the node leaves
 /// after a panic, and its platform restarts it.
 #[derive(Default)]
-pub(crate) struct Duties {
+pub(crate) struct BackgroundTasks {
     tasks: JoinSet<()>,
 }
 
-impl Duties {
+impl BackgroundTasks {
     /// Starts a background task on the local task set of the thread.
     pub(crate) fn spawn(&mut self, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn_local(task);
--- a/valetrack/src/member/leased.rs
+++ b/valetrack/src/member/leased.rs
@@ -34,7 +34,7 @@
 use crate::clock::now_us;
 use crate::crash::CrashJob;
 use crate::gate::{UpstreamPhase, UpstreamState};
-use crate::jobs::Duties;
+use crate::jobs::BackgroundTasks;
 use crate::link::message::{Ask, PeerRequest, Reply};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::metric::Metrics;
@@ -190,7 +190,7 @@
         parts,
     });
     shell.publish();
-    let mut tasks = Duties::default();
+    let mut tasks = BackgroundTasks::default();
     tasks.spawn(shell.clone().follow_store());
     tasks.spawn(shell.clone().keep_entry());
     tasks.spawn(shell.clone().follow_phase());
--- a/valetrack/src/member/run.rs
+++ b/valetrack/src/member/run.rs
@@ -17,7 +17,7 @@
 use crate::bundle::run::BundleFollower;
 use crate::claim::{ClaimReport, ClaimState, PeerReport};
 use crate::clock::now_us;
-use crate::jobs::Duties;
+use crate::jobs::BackgroundTasks;
 use crate::link::message::{Ask, PeerRequest, Reply};
 use crate::link::peer::{self, LinkJob, LinkResult, Target};
 use crate::timeline::log as events;
@@ -90,7 +90,7 @@
         parts,
     });
     shell.merge(std::slice::from_ref(&shell.parts.me));
-    let mut tasks = Duties::default();
+    let mut tasks = BackgroundTasks::default();
     tasks.spawn(shell.clone().poll_list());
     tasks.spawn(shell.clone().gossip());
     tasks.spawn(shell.clone().follow_phase());
--- a/valetrack/src/tests.rs
+++ b/valetrack/src/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::code::{self, ALL};
-use crate::jobs::{Duties, background_task_failed};
+use crate::jobs::{BackgroundTasks, background_task_failed};
 use crate::settings::{NODE, RawSettings};
 
 #[test]
@@ -63,7 +63,7 @@
     let closed = tokio::sync::watch::Sender::new(false);
     let local = tokio::task::LocalSet::new();
     let served = local.run_until(async {
-        let mut tasks = Duties::default();
+        let mut tasks = BackgroundTasks::default();
         tasks.spawn(async { panic!("a simulated bug") });
         tasks.spawn(async move {
             background_task_failed().await;
