--- a/valetrack/src/link/codec.rs
+++ b/valetrack/src/link/codec.rs
@@ -115,7 +115,7 @@
 ///
 /// Returns [`FrameError::BodyTooLarge`] if the size prefix exceeds [`BODY_MAX_BYTES`], and
 /// [`FrameError::Undecodable`] if the body is not a valid store update.
-pub fn unpack_news(body: &Bytes) -> Result<StoreUpdate, FrameError> {
+pub fn unpack_store_update(body: &Bytes) -> Result<StoreUpdate, FrameError> {
     let size: [u8; LENGTH_BYTES] =
         body.get(..LENGTH_BYTES).and_then(|size| size.try_into().ok()).ok_or(FrameError::Undecodable)?;
     let bytes = u32::from_le_bytes(size) as usize;
--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -187,7 +187,7 @@
         if is_late || u64::from(age_ms) * 1_000 > self.log.borrow().age_max_us() {
             return RelayReply::Behind;
         }
-        match codec::unpack_news(&answered.body) {
+        match codec::unpack_store_update(&answered.body) {
             Ok(update) => RelayReply::Update(update, age_ms),
             Err(error) => {
                 log::warn!("event=store.news_invalid relay={} code={} reason=\"{error}\"", relay.vm, error.code());
