--- a/valetrack/src/link/codec.rs
+++ b/valetrack/src/link/codec.rs
@@ -104,7 +104,7 @@
 /// # Errors
 ///
 /// Returns [`FrameError::Undecodable`] if the update cannot be serialized, which is a bug in its type.
-pub fn pack_news(news: &StoreUpdate) -> Result<Bytes, FrameError> {
+pub fn pack_store_update(news: &StoreUpdate) -> Result<Bytes, FrameError> {
     let packed = postcard::to_allocvec(news).map_err(|_| FrameError::Undecodable)?;
     Ok(Bytes::from(lz4_flex::compress_prepend_size(&packed)))
 }
--- a/valetrack/src/member/leased/relayed.rs
+++ b/valetrack/src/member/leased/relayed.rs
@@ -259,7 +259,7 @@
         if let Some((_, packed)) = cache.iter().find(|(known, _)| *known == (after, at)) {
             return FollowerReply::News { packed: packed.clone(), age_ms };
         }
-        match codec::pack_news(&log.since(after)) {
+        match codec::pack_store_update(&log.since(after)) {
             Ok(packed) => {
                 cache.retain(|((_, until), _)| *until == at);
                 cache.truncate(PACKED_MAX - 1);
