--- a/valetrack/src/cli.rs
+++ b/valetrack/src/cli.rs
@@ -86,7 +86,7 @@
     }
     let words: Vec<&str> = options.words.iter().map(String::as_str).collect();
     if options.help || words.is_empty() {
-        print!("{}", help::of(&words));
+        print!("{}", help::usage(&words));
         return if options.help { Ok(()) } else { Err(failure(EXIT_USAGE, "")) };
     }
     match words.as_slice() {
@@ -144,7 +144,8 @@
                 options.raw.set(&flag, value);
             }
             Long(flag) => {
-                // All unknown flags are reported at once. An attached value is discarded.
+                // All unknown flags are reported at once. The value of `--flag=value` is skipped, because reporting it
+                // as well would be confusing.
                 options.faults.push(SettingFault {
                     code: Code::SettingUnknown,
                     flag: flag.to_owned(),
--- a/valetrack/src/cli/help.rs
+++ b/valetrack/src/cli/help.rs
@@ -59,7 +59,7 @@
 }
 
 /// Returns the help of the commands that start with these words, or of all commands if there are none.
-pub fn of(words: &[&str]) -> String {
+pub fn usage(words: &[&str]) -> String {
     let wanted = words.join(" ");
     let chosen: Vec<&Command> = COMMANDS.iter().filter(|command| command.words.starts_with(&wanted)).collect();
     let chosen = if chosen.is_empty() { COMMANDS.iter().collect() } else { chosen };
--- a/valetrack/src/link/mod.rs
+++ b/valetrack/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! QUIC between nodes: frames, mutual TLS, connections kept open.
+//! QUIC between nodes: frames, TLS and persistent connections.
 //!
 //! Contract: a node with a keys folder accepts only peers with a certificate of the fleet's authority (see
 //! [`tls::generate`] for nodes without one). Incomplete frames are discarded. A broken connection is reported as broken
--- a/valetrack/src/link/tests.rs
+++ b/valetrack/src/link/tests.rs
@@ -43,7 +43,7 @@
 }
 
 fn whole(ask: &Ask, body: &[u8]) -> Vec<u8> {
-    let mut frame = pack(ask).expect("a head below its cap").to_vec();
+    let mut frame = pack(ask).expect("a head below its limit").to_vec();
     frame.extend_from_slice(body);
     frame
 }
@@ -133,15 +133,18 @@
     tls::make_authority(&dir).expect("an authority");
     assert!(tls::make_authority(&dir).is_err(), "an authority is never overwritten");
     tls::make_node(&dir, "kranj-1").expect("a certificate");
-    let days: Vec<(String, i64)> =
-        tls::expiries(&dir).expect("both").into_iter().map(|expiry| (expiry.file, expiry.days_left)).collect();
+    let days: Vec<(String, i64)> = tls::expiries(&dir)
+        .expect("both certificates")
+        .into_iter()
+        .map(|expiry| (expiry.file, expiry.days_left))
+        .collect();
     assert_eq!(days[0].0, "kranj-1.pem");
     // `days_left` is rounded down: it is a full 365 only within the second in which the certificate was created.
     assert!((tls::CERTIFICATE_DAYS - 1..=tls::CERTIFICATE_DAYS).contains(&days[0].1), "{days:?}");
     assert_eq!(days[1].0, "ca.pem");
     assert!(tls::load(&dir, "kranj-1").is_ok());
     assert!(tls::load(&dir, "kranj-2").is_err());
-    std::fs::remove_dir_all(&dir).expect("an empty place");
+    std::fs::remove_dir_all(&dir).expect("a removable folder");
 }
 
 /// Limit of bytes in both directions for a link that is opened for one small request: four handshake datagrams that
--- a/valetrack/src/node/start.rs
+++ b/valetrack/src/node/start.rs
@@ -49,7 +49,7 @@
                 Ok(vec![self.start_claim(claim_store.clone())?, self.start_listed(list.clone(), store.clone())?])
             }
             Membership::Leased { store, bundle_key, evacuation_prefix, rollouts } => {
-                // Leased members have no homes of keys, so there are no claims and no keyed calls.
+                // Without a VM list there is no roster of homes, so this platform has no claims and no keyed calls.
                 self.stages.released.send_replace(true);
                 let (bundle_key, prefix) = (bundle_key.clone(), evacuation_prefix.clone());
                 Ok(vec![self.start_leased(store.clone(), bundle_key, prefix, rollouts.clone())?])
--- a/valetrack/src/tests.rs
+++ b/valetrack/src/tests.rs
@@ -67,7 +67,7 @@
         tasks.spawn(async { panic!("a simulated bug") });
         tasks.spawn(async move {
             background_task_failed().await;
-            to.send(7).await.expect("a reader");
+            to.send(7).await.expect("an open channel");
         });
         tasks.next_job(&jobs, &mut closed.subscribe()).await
     });
