--- a/standin/src/managed/server.rs
+++ b/standin/src/managed/server.rs
@@ -290,7 +290,7 @@
     }
 
     /// Restarts the server under the same id, as after a crash that lost its state.
-    pub fn reborn(&self) {
+    pub fn restart_with_same_id(&self) {
         let generation = self.incarnation().generation;
         self.begin_incarnation(generation);
     }
--- a/standin/tests/upstream_start.rs
+++ b/standin/tests/upstream_start.rs
@@ -79,7 +79,7 @@
     let acknowledged = upstream.acknowledged();
     wait_for("a heartbeat", async || upstream.acknowledged() >= acknowledged + 2).await;
     assert_eq!(status(&fleet.call(1, "GET", "/sheet/", "left").await), 503);
-    upstream.reborn();
+    upstream.restart_with_same_id();
     let since = Instant::now();
     wait_for("a served call", async || status(&fleet.call(1, "GET", "/sheet/", "back").await) == 200).await;
     assert!(since.elapsed() < Duration::from_millis(3_500), "{:?}", since.elapsed());
