--- a/standin/src/managed/store.rs
+++ b/standin/src/managed/store.rs
@@ -195,7 +195,7 @@
     }
 
     /// Makes every lease expire at once.
-    pub fn lapse(&self) {
+    pub fn expire_leases(&self) {
         let mut state = self.lock();
         let leases: Vec<u64> = state.leases.keys().copied().collect();
         for lease in leases {
--- a/standin/src/soak/fleet.rs
+++ b/standin/src/soak/fleet.rs
@@ -218,7 +218,7 @@
             Fault::Store(mode) => self.store.set_mode(mode),
             Fault::RollBack { .. } => self.store.set_mode(Mode::Refusing),
             Fault::Revoke => self.store.revoke("valetrack/"),
-            Fault::Lapse => self.store.lapse(),
+            Fault::Lapse => self.store.expire_leases(),
             Fault::Compact => self.store.compact(),
             // The caller of this function writes the configuration, since it counts the versions.
             Fault::Configure => {}
--- a/standin/tests/managed.rs
+++ b/standin/tests/managed.rs
@@ -112,7 +112,7 @@
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.store.revoke("valetrack/");
     wait_for("the entries", async || fleet.entries() == 2).await;
-    fleet.store.lapse();
+    fleet.store.expire_leases();
     wait_for("the entries", async || fleet.entries() == 2).await;
     assert_eq!(status(&fleet.call(1, "GET", "/sheet/", "f-1").await), 200);
 }
@@ -202,7 +202,7 @@
 #[tokio::test]
 async fn relay_keeps_entries_beyond_one_transaction() {
     let fleet = Fleet::start(&["rounds"; LARGE_FLEET_SIZE]).await;
-    fleet.store.lapse();
+    fleet.store.expire_leases();
     wait_for("all entries", async || fleet.entries() == LARGE_FLEET_SIZE).await;
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     assert_eq!(fleet.entries(), LARGE_FLEET_SIZE);
--- a/standin/tests/store_rollback.rs
+++ b/standin/tests/store_rollback.rs
@@ -111,7 +111,7 @@
     tokio::time::sleep(Duration::from_millis(700)).await;
     fleet.store.roll_back(changes);
     if without_leases {
-        fleet.store.lapse();
+        fleet.store.expire_leases();
     }
     fleet.store.set_mode(Mode::Up);
     let since = Instant::now();
--- a/standin/tests/suspension.rs
+++ b/standin/tests/suspension.rs
@@ -37,7 +37,7 @@
 async fn entry_lapsed_in_suspension_is_written_again_within_limit() {
     let fleet = Fleet::start(&["rounds", "ledger"]).await;
     fleet.signal(0, "-STOP");
-    fleet.store.lapse();
+    fleet.store.expire_leases();
     wait_for("entries to lapse", async || fleet.entries() < 2).await;
     fleet.signal(0, "-USR2");
     fleet.signal(0, "-CONT");
