--- a/standin/src/managed/server.rs
+++ b/standin/src/managed/server.rs
@@ -314,7 +314,7 @@
     }
 
     /// Returns the maximum number of requests that arrived within one second while the server was cold.
-    pub fn most_while_cold(&self) -> usize {
+    pub fn max_arrivals_per_s_while_cold(&self) -> usize {
         let arrivals = self.cold_arrivals.lock().unwrap_or_else(PoisonError::into_inner);
         let within = |first: &Instant| {
             let until = *first + Duration::from_secs(1);
--- a/standin/tests/upstream_start.rs
+++ b/standin/tests/upstream_start.rs
@@ -51,7 +51,7 @@
         let (served, _) = send_calls(&fleet, 1, Duration::from_millis(1_000)).await;
         assert!(served > 60, "{served} calls served while warm");
     }
-    let peak_calls = upstream.most_while_cold();
+    let peak_calls = upstream.max_arrivals_per_s_while_cold();
     assert!(peak_calls as f64 <= COLD_PER_S * COLD_OVERAGE, "{peak_calls} calls in one second while cold");
 }
 
@@ -65,7 +65,7 @@
     fleet.kill_node(0);
     fleet.start_node(0);
     send_calls(&fleet, 1, Duration::from_millis(1_500)).await;
-    let peak_calls = fleet.vms[0].upstream.most_while_cold();
+    let peak_calls = fleet.vms[0].upstream.max_arrivals_per_s_while_cold();
     assert!(peak_calls as f64 <= COLD_PER_S * COLD_OVERAGE + 8.0, "{peak_calls} calls in one second while cold");
 }
 
