--- a/standin/src/managed/store.rs
+++ b/standin/src/managed/store.rs
@@ -93,7 +93,7 @@
     /// Snapshot for reads with `allow_stale`.
     earlier: Option<Snapshot>,
     /// Number of calls that waited for changes or requested them.
-    changes_asked: u64,
+    watch_calls: u64,
 }
 
 /// The store; clones share it.
@@ -137,7 +137,7 @@
             calls: 0,
             price_tenths: 0,
             earlier: None,
-            changes_asked: 0,
+            watch_calls: 0,
         };
         Self { state: Arc::new(Mutex::new(state)), changed: Arc::new(Notify::new()) }
     }
@@ -255,8 +255,8 @@
     }
 
     /// Returns the number of calls so far that requested changes.
-    pub fn changes_asked(&self) -> u64 {
-        self.lock().changes_asked
+    pub fn watch_calls(&self) -> u64 {
+        self.lock().watch_calls
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -298,7 +298,7 @@
             state.calls += 1;
             let is_discounted = path.starts_with("/api/kv-keep/") || query.contains_key("allow_stale");
             state.price_tenths += if is_discounted { DISCOUNTED_TENTHS } else { CALL_TENTHS };
-            state.changes_asked += u64::from(path == "/api/kv-watch");
+            state.watch_calls += u64::from(path == "/api/kv-watch");
             if access.get() == Mode::Up { state.mode } else { access.get() }
         };
         match mode {
--- a/standin/tests/managed.rs
+++ b/standin/tests/managed.rs
@@ -159,9 +159,9 @@
     let fleet = Fleet::start(&["rounds", "ledger", "rounds", "ledger", "rounds", "ledger", "rounds", "ledger"]).await;
     // The started nodes choose their relays meanwhile.
     tokio::time::sleep(Duration::from_millis(2_000)).await;
-    let before = fleet.store.changes_asked();
+    let before = fleet.store.watch_calls();
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    let requests = fleet.store.changes_asked() - before;
+    let requests = fleet.store.watch_calls() - before;
     // Two failure domains with a relay each, which requests changes every 0.7 s. No other node does so.
     assert!((1..=12).contains(&requests), "{requests} calls for changes in 3 s");
 }
