--- a/standin/src/managed/node.rs
+++ b/standin/src/managed/node.rs
@@ -13,7 +13,7 @@
 
 /// Identity of a node and the addresses around it.
 #[derive(Debug, Clone)]
-pub struct NodeLine<'a> {
+pub struct NodeCommand<'a> {
     /// Name of the node's VM.
     pub vm: &'a str,
     /// Number of the VM, which determines its failure domain.
@@ -34,7 +34,7 @@
     pub store_addr: SocketAddr,
 }
 
-impl NodeLine<'_> {
+impl NodeCommand<'_> {
     /// Builds the command that starts the node, with additional flags; its standard streams are null.
     pub fn command(&self, program: &Path, further: Vec<(&str, String)>) -> Command {
         let flags = [
--- a/standin/src/soak/fleet.rs
+++ b/standin/src/soak/fleet.rs
@@ -12,7 +12,7 @@
 
 use super::path::Path;
 use super::schedule::{Fault, PathFault};
-use crate::managed::node::NodeLine;
+use crate::managed::node::NodeCommand;
 use crate::managed::server::{ManagedServer, Spoil};
 use crate::managed::store::{ManagedStore, Mode};
 use crate::relay::{self, Cuts};
@@ -165,7 +165,7 @@
     /// Returns an error if the program can't be started.
     pub fn start_node(&mut self, at: usize) -> std::io::Result<()> {
         let vm = &mut self.vms[at];
-        let line = NodeLine {
+        let line = NodeCommand {
             vm: &vm.name,
             at,
             service: vm.service,
--- a/standin/tests/common/managed.rs
+++ b/standin/tests/common/managed.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 use standin::client::{Client, Reply};
-use standin::managed::node::NodeLine;
+use standin::managed::node::NodeCommand;
 use standin::managed::server::ManagedServer;
 use standin::managed::store::{ManagedStore, NodeAccess};
 
@@ -129,7 +129,7 @@
             ("test-suspension-ms", SUSPENSION_MS.to_string()),
         ];
         let vm = &mut self.vms[at];
-        let line = NodeLine {
+        let line = NodeCommand {
             vm: &vm.name,
             at,
             service: vm.service,
