--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -43,7 +43,7 @@
     pub seconds: u64,
     /// Share of the calls that are writes with an idempotency key.
     pub keyed_percent: u64,
-    /// Seed of the arrival times and of the choice of keyed calls.
+    /// Seed of the arrival times, of the choice of keyed calls and of their keys.
     pub seed: u64,
     /// File that the plot is written to.
     pub plot: Option<PathBuf>,
--- a/standin/src/managed/store.rs
+++ b/standin/src/managed/store.rs
@@ -92,7 +92,7 @@
     price_tenths: u64,
     /// Snapshot for reads with `allow_stale`.
     earlier: Option<Snapshot>,
-    /// Number of calls that waited for changes or requested them.
+    /// Number of calls to `/api/kv-watch`.
     watch_calls: u64,
 }
 
@@ -254,7 +254,7 @@
         self.lock().price_tenths as f64 / CALL_TENTHS as f64
     }
 
-    /// Returns the number of calls so far that requested changes.
+    /// Returns the number of calls to `/api/kv-watch` so far.
     pub fn watch_calls(&self) -> u64 {
         self.lock().watch_calls
     }
--- a/standin/src/soak/fleet.rs
+++ b/standin/src/soak/fleet.rs
@@ -21,7 +21,7 @@
 const SLOTS: usize = 6;
 /// Time for which a draining node still accepts calls after SIGTERM.
 const LINGER_MS: &str = "600";
-/// Length of a suspension as the node finds it on resumption: longer than the lifetime of leases, links and load
+/// Length of a suspension as the node finds it on resumption: longer than the lifetime of leases, links and
 /// reports.
 const SUSPENSION_MS: &str = "8000";
 /// Time within which a node exits after SIGTERM.
--- a/standin/src/soak/judge.rs
+++ b/standin/src/soak/judge.rs
@@ -39,7 +39,7 @@
 pub struct Breach {
     /// The guarantee.
     pub guarantee: &'static str,
-    /// Id of the call, or name of the VM or the service.
+    /// Id of the call, or name of the VM, the service or the path.
     pub subject: String,
     /// Details of the observation.
     pub detail: String,
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -44,7 +44,7 @@
 pub struct SoakSettings {
     /// The seed, which determines all faults.
     pub seed: u64,
-    /// Duration of the load and of the fault schedule.
+    /// Length of the fault schedule, in seconds.
     pub seconds: u64,
     /// Number of VMs.
     pub vms: usize,
