--- a/valetrack/src/claim/continuity.rs
+++ b/valetrack/src/claim/continuity.rs
@@ -31,7 +31,7 @@
 
 /// Whether an answer of the store continues the history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ClaimOutcome {
+pub enum HistoryOutcome {
     /// The answer continues the history.
     Unbroken,
     /// The answer came over another connection than the last one, so the store may have been rolled back.
@@ -61,22 +61,22 @@
 
 impl Continuity {
     /// Records an answer that arrived at `now_us`.
-    pub fn record_answer(&mut self, answer: StoreAnswer, now_us: u64) -> ClaimOutcome {
+    pub fn record_answer(&mut self, answer: StoreAnswer, now_us: u64) -> HistoryOutcome {
         let StoreAnswer { at, history, sent_us } = answer;
         if self.first.is_none() || at.era() != self.era {
             let is_first = self.first.is_none();
             self.start_connection(answer, now_us);
-            return if is_first { ClaimOutcome::Unbroken } else { ClaimOutcome::Reconnected };
+            return if is_first { HistoryOutcome::Unbroken } else { HistoryOutcome::Reconnected };
         }
         let has_other_name = history.is_some() && self.history.is_some() && history != self.history;
         // A later answer may overtake this one, but not if this call was sent after that answer had arrived.
         if has_other_name || (at.wire_revision() < self.latest_revision && sent_us >= self.verified_us) {
-            return ClaimOutcome::RolledBack;
+            return HistoryOutcome::RolledBack;
         }
         self.history = self.history.or(history);
         self.latest_revision = self.latest_revision.max(at.wire_revision());
         self.verified_us = self.verified_us.max(sent_us);
-        ClaimOutcome::Unbroken
+        HistoryOutcome::Unbroken
     }
 
     fn start_connection(&mut self, answer: StoreAnswer, now_us: u64) {
--- a/valetrack/src/claim/run.rs
+++ b/valetrack/src/claim/run.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use super::continuity::{ClaimOutcome, StoreAnswer};
+use super::continuity::{HistoryOutcome, StoreAnswer};
 use super::entry::ClaimRule;
 use super::message::{
     ClaimAction, ClaimEvent, ClaimJob, Holder, Home, KeptAnswer, KeyDigest, KeyedCallId, KeyedCallReply, Page, RunEnd,
@@ -387,7 +387,7 @@
         let Some((store_answer, position, content)) = answer else {
             return self.handle(page, ClaimEvent::ReadFailed);
         };
-        if self.record_answer(store_answer) == ClaimOutcome::RolledBack {
+        if self.record_answer(store_answer) == HistoryOutcome::RolledBack {
             // The answer belongs to the ended era, so the page is read again in the new one.
             return self.read(page);
         }
--- a/valetrack/src/claim/run/history.rs
+++ b/valetrack/src/claim/run/history.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::super::continuity::{ClaimOutcome, Continuity, StoreAnswer};
+use super::super::continuity::{Continuity, HistoryOutcome, StoreAnswer};
 use super::super::message::ClaimEvent;
 use super::super::rank::PAGES;
 use super::super::recovery::{GapStatus, OpenGap, Recovery, VmIncarnations};
@@ -36,12 +36,12 @@
 impl Shell {
     /// Records an answer of the store. If the store may have been rolled back, every held page is read again before it
     /// counts as held.
-    pub(super) fn record_answer(&mut self, store_answer: StoreAnswer) -> ClaimOutcome {
+    pub(super) fn record_answer(&mut self, store_answer: StoreAnswer) -> HistoryOutcome {
         let outcome = self.history.continuity.record_answer(store_answer, now_us());
         match outcome {
-            ClaimOutcome::Unbroken => return outcome,
-            ClaimOutcome::Reconnected => log::warn!("event=claim.store_reconnected at={}", store_answer.at),
-            ClaimOutcome::RolledBack => {
+            HistoryOutcome::Unbroken => return outcome,
+            HistoryOutcome::Reconnected => log::warn!("event=claim.store_reconnected at={}", store_answer.at),
+            HistoryOutcome::RolledBack => {
                 log::warn!("event=claim.store_returned at={}", store_answer.at);
                 self.parts.store.end_era();
             }
@@ -58,7 +58,7 @@
         let ClaimEvent::Wrote { position } = event else {
             return self.handle(page, event);
         };
-        if self.record_answer(StoreAnswer { at: position, history: None, sent_us }) == ClaimOutcome::RolledBack {
+        if self.record_answer(StoreAnswer { at: position, history: None, sent_us }) == HistoryOutcome::RolledBack {
             // The write took effect on a page that this node has not read, so its result must not be used.
             return self.handle(page, ClaimEvent::Refused);
         }
--- a/valetrack/src/claim/tests/continuity.rs
+++ b/valetrack/src/claim/tests/continuity.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::claim::continuity::{Attestation, ClaimOutcome, Continuity, StoreAnswer};
+use crate::claim::continuity::{Attestation, Continuity, HistoryOutcome, StoreAnswer};
 use crate::claim::recovery::{GapStatus, OpenGap, Recovery, VmIncarnations};
 use crate::claim::{ClaimReport, PeerReport};
 use crate::member::{Member, Members, Phase};
@@ -28,25 +28,25 @@
 /// Returns the history after a first answer at revision 50, which arrived at 1,000 us.
 fn connected() -> Continuity {
     let mut continuity = Continuity::default();
-    assert_eq!(continuity.record_answer(answer_at(at(1, 50), 900), 1_000), ClaimOutcome::Unbroken);
+    assert_eq!(continuity.record_answer(answer_at(at(1, 50), 900), 1_000), HistoryOutcome::Unbroken);
     continuity
 }
 
 #[test]
 fn connection_covers_writes_made_while_it_was_open() {
     let mut continuity = connected();
-    assert_eq!(continuity.record_answer(answer_at(at(1, 70), 2_000), 2_100), ClaimOutcome::Unbroken);
+    assert_eq!(continuity.record_answer(answer_at(at(1, 70), 2_000), 2_100), HistoryOutcome::Unbroken);
     assert!(continuity.covers(at(1, 51)) && !continuity.covers(at(1, 50)) && !continuity.covers(at(2, 70)));
-    assert_eq!(continuity.record_answer(answer_at(at(2, 71), 3_000), 3_100), ClaimOutcome::Reconnected);
+    assert_eq!(continuity.record_answer(answer_at(at(2, 71), 3_000), 3_100), HistoryOutcome::Reconnected);
     assert!(!continuity.covers(at(2, 71)) && !continuity.is_first());
 }
 
 #[test]
 fn lower_revision_or_other_name_proves_rollback() {
     let mut continuity = connected();
-    assert_eq!(continuity.record_answer(answer_at(at(1, 49), 2_000), 2_100), ClaimOutcome::RolledBack);
+    assert_eq!(continuity.record_answer(answer_at(at(1, 49), 2_000), 2_100), HistoryOutcome::RolledBack);
     let renamed = StoreAnswer { history: Some(HistoryName(2)), ..answer_at(at(1, 60), 2_000) };
-    assert_eq!(continuity.record_answer(renamed, 2_100), ClaimOutcome::RolledBack);
+    assert_eq!(continuity.record_answer(renamed, 2_100), HistoryOutcome::RolledBack);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     assert!(continuity.covers(at(1, 11)));
     assert_eq!(
         continuity.record_answer(answer_at(at(1, 60), 2_000), 2_100),
-        ClaimOutcome::RolledBack,
+        HistoryOutcome::RolledBack,
         "the attestation includes revision 80"
     );
 }
