--- a/valetrack/src/lib.rs
+++ b/valetrack/src/lib.rs
@@ -6,9 +6,9 @@
 //! - [`placement::Call`] with [`placement::ServiceView`]: the lifecycle of a call at its entry;
 //! - [`gate::Gate`]: the slots and the queue of one server;
 //! - [`claim::PageHome`]: at-most-once execution of keyed calls;
-//! - [`crash::CrashBook`], [`crash::CrashDetector`]: detection of calls that crash upstreams;
+//! - [`crash::CrashHistory`], [`crash::CrashDetector`]: detection of calls that crash upstreams;
 //! - [`member::Members`], [`bundle::Adoption`]: views that never go back to an older state;
-//! - [`placement::RateBudget`], [`placement::RepeatBudget`]: budgets;
+//! - [`placement::RateBudget`], [`placement::RetryBudget`]: budgets;
 //! - [`timeline::HybridClock`]: the causal order of events.
 
 pub mod admin;
--- a/valetrack/src/link/run.rs
+++ b/valetrack/src/link/run.rs
@@ -229,8 +229,8 @@
     ///
     /// Requests from before a suspension of this VM are not served after it. The sender has abandoned the request, and
     /// this node may have replied to a cancellation that the attempt never starts, which it records for some seconds
-    /// only. Because the link is closed, the sender repeats the cancellation on another link and is told that the
-    /// attempt was not started.
+    /// only. Because the link is closed, the sender repeats the cancellation on another link, and the reply
+    /// there states that the attempt was not started.
     async fn serve_stream(
         self: Rc<Self>,
         connection: Connection,
--- a/valetrack/src/node.rs
+++ b/valetrack/src/node.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Runs a node until it is told to leave, and then shuts it down in order.
+/// Runs a node until it is asked to leave, and then shuts it down in order.
 ///
 /// # Errors
 ///
--- a/valetrack/src/placement/budget.rs
+++ b/valetrack/src/placement/budget.rs
@@ -29,7 +29,7 @@
         self.micro_tokens = self.micro_tokens.min(burst.saturating_mul(MICRO));
     }
 
-    /// Takes `cost` units if the bucket holds them. A clock that goes back adds no tokens.
+    /// Removes `cost` tokens and returns true if the bucket holds them. A clock that goes back adds no tokens.
     pub fn take(&mut self, cost: u64, now_us: u64) -> bool {
         self.fill(now_us);
         let Some(left) = self.micro_tokens.checked_sub(cost.saturating_mul(MICRO)) else {
--- a/valetrack/src/placement/call.rs
+++ b/valetrack/src/placement/call.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes a repeat from the budget if there is one left, and counts it as refused otherwise.
+    /// Charges a repeat to the retry budget if it has one left, and counts it as refused otherwise.
     fn take_repeat(&mut self, cause: SendCause, now_us: u64) -> bool {
         let granted = self.retry.take(now_us);
         if !granted {
--- a/valetrack/src/placement/call/end.rs
+++ b/valetrack/src/placement/call/end.rs
@@ -215,7 +215,7 @@
         self.settle(cx, out);
     }
 
-    /// Takes a repeat from the call's own allowance and its service's budget, if both have one left.
+    /// Charges a repeat to the call's own allowance and its service's budget, if both have one left.
     pub(super) fn may_repeat(&mut self, cause: SendCause, cx: &mut CallContext<'_>) -> bool {
         if !self.rule.repeatable || self.retries_left == 0 || !cx.budgets.take_repeat(cause, cx.now_us) {
             return false;
--- a/valetrack/src/placement/repeat.rs
+++ b/valetrack/src/placement/repeat.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes one repeat if there is one left.
+    /// Charges one repeat to the budget and returns true if there is one left.
     pub fn take(&mut self, now_us: u64) -> bool {
         let granted = self.left(now_us) >= 1.0;
         if granted {
--- a/valetrack/src/placement/run.rs
+++ b/valetrack/src/placement/run.rs
@@ -310,7 +310,7 @@
         }
     }
 
-    /// Takes a server out of rotation for a while, since its owner does not reply.
+    /// Ejects a server temporarily because its owner does not reply.
     pub(super) fn suspect(&self, service: &str, server: ServerIndex) {
         let mut inner = self.inner.borrow_mut();
         if let Some(state) = inner.services.get_mut(service) {
--- a/valetrack/src/placement/view.rs
+++ b/valetrack/src/placement/view.rs
@@ -248,7 +248,7 @@
         self.full_owner_share.allowed_declines(declines_max, now_us)
     }
 
-    /// Takes a server out of rotation at once, since its node is unreachable.
+    /// Ejects a server immediately because its node is unreachable.
     pub fn suspect(&mut self, server: ServerIndex, now_us: u64) {
         if let Some(view) = self.servers.get_mut(server) {
             if view.ejected_until_us > now_us {
--- a/valetrack/src/store/client.rs
+++ b/valetrack/src/store/client.rs
@@ -88,7 +88,7 @@
             .map_err(|error| CallError::NotSent(error.to_string()))
     }
 
-    /// Takes the sender out of the connection, or connects again if the last connection has ended. A call that is
+    /// Moves the sender out of the connection, or reconnects if the last connection has ended. A call that is
     /// cancelled in the meantime drops the sender, which ends the era.
     async fn sender(&self, connection: &mut Connection) -> Result<SendRequest<Full<Bytes>>, CallError> {
         let last = connection.sender.take();
